--- a/include/yucca/observed_load.h
+++ b/include/yucca/observed_load.h
@@ -1,5 +1,5 @@
-// What a router knows of the load of a pool's members, from its own requests
-// and from the members' late reports.
+// Estimates of the load of a pool's members, made from this router's own requests and from the members' delayed load
+// reports.
 #pragma once
 
 #include <chrono>
@@ -12,64 +12,64 @@
 
 using TimePoint = std::chrono::steady_clock::time_point;
 
-/// Which members a request may go to, in the order of the members.
+/// For each member, in member order: true if the member may receive a request.
 using Usable = std::vector<bool>;
 
-/// What a router knows of one member's load: what it has in flight there
-/// itself, and the member's last report of what it has from all routers.
+/// One member's load as this router sees it: the requests this router has in flight on the member, and the member's
+/// last report of its requests from all routers.
 class ObservedLoad
 {
 public:
     void placed()
     {
-        ++m_own;
+        ++m_ownInflight;
     }
     void finished()
     {
-        m_own = m_own > 0 ? m_own - 1 : 0;
+        m_ownInflight = m_ownInflight > 0 ? m_ownInflight - 1 : 0;
     }
-    /// Takes a report; one that is older than the last is left out.
+    /// Records the member's reported load at the given time. A report older than the last one is ignored.
     void reported(int64_t load, TimePoint now);
-    int64_t own() const
+    /// The number of requests that this router has in flight on the member.
+    int64_t ownInflight() const
     {
-        return m_own;
+        return m_ownInflight;
     }
-    /// The last report, or -1 before the first.
-    int64_t report() const
+    /// The last reported load, or -1 before the first report.
+    int64_t lastReport() const
     {
-        return m_report;
+        return m_lastReport;
     }
-    /// How much the last report still weighs: 1 when fresh, less by e with each lifetime; 0 without one.
+    /// The weight of the last report: 1 when fresh, divided by e per elapsed lifetime, 0 without a report.
     double weight(TimePoint now, std::chrono::duration<double> lifetime) const;
-    /// The load from all routers. A fresh report counts as it is, corrected
-    /// by what this router has sent and finished since; with age it gives
-    /// way to the prior. Never below what this router has there.
+    /// Estimates the requests in flight from all routers. A fresh report is corrected by what this router has sent and
+    /// finished since. As the report ages, the estimate moves toward the prior. The result is never below this router's
+    /// own requests in flight.
     double estimate(double prior, TimePoint now, std::chrono::duration<double> lifetime) const;
 
 private:
-    int64_t m_own = 0;
-    int64_t m_ownAtReport = 0;
-    int64_t m_report = -1;
+    int64_t m_ownInflight = 0;
+    int64_t m_ownInflightAtReport = 0;
+    int64_t m_lastReport = -1;
     TimePoint m_reportedAt{};
 };
 
-/// What a member without a report counts for in a mean.
-enum class Unreported {
-    LeaveOut, ///< nothing: the mean is that of the others
-    CountOwn, ///< what this router has there: a few busy members do not pass for the mean of an idle pool
+/// How a member without a load report enters a mean.
+enum class MissingReport {
+    Exclude, ///< the mean is taken over the other members
+    CountOwnInflight, ///< as this router's own requests there, so that a few busy members do not set the mean of an idle pool
 };
 
-/// The mean load of the members that may be used: of the reports, weighted
-/// by their age, and never below the mean of what this router has in flight.
-/// Reports age slower here than in a member's own estimate: a pool's mean
-/// moves slowly, and many reports average out.
-double meanLoad(const std::vector<ObservedLoad> &loads, const Usable &usable, TimePoint now, std::chrono::duration<double> lifetime, Unreported unreported);
+/// The mean load of the usable members: the reports weighted by their age, and never below the mean of this router's
+/// own requests in flight. Reports decay more slowly here than in a member's own estimate, because the mean of a pool
+/// changes slowly and errors of many reports average out.
+double meanLoad(const std::vector<ObservedLoad> &loads, const Usable &usable, TimePoint now, std::chrono::duration<double> lifetime,
+                MissingReport missingReport);
 
-/// A member's rank in a key's rendezvous order; the highest is the key's home.
+/// A member's rank in a key's rendezvous order. The member with the highest rank is the key's home.
 uint64_t rankOf(const std::string &memberId, uint64_t key);
 
-/// The members of a pool with what is known of their loads: what policies
-/// that place by load have in common.
+/// The members of a pool with their observed loads. Base class of the load-based policies.
 class ObservedMembers
 {
 public:
@@ -81,22 +81,21 @@
     void placed(std::size_t member, TimePoint now);
     void finished(std::size_t member, TimePoint now);
     void reported(std::size_t member, int64_t load, TimePoint now);
-    /// Endpoints of the service that are no members now, and get no work: the
-    /// service's mean load is that of all.
-    void setIdle(std::size_t endpoints)
+    /// Sets the number of the service's endpoints that are not members and receive no requests. They count toward the
+    /// mean load of the service.
+    void setIdleCount(std::size_t endpoints)
     {
-        m_idle = endpoints;
+        m_idleCount = endpoints;
     }
 
 protected:
-    /// The mean load of the service: of all members, whether or not they may be
-    /// used now, and of those that are idle.
-    double serviceMean(TimePoint now, std::chrono::duration<double> lifetime) const;
+    /// The mean load of the service over all members, usable or not, and its idle endpoints.
+    double serviceMeanLoad(TimePoint now, std::chrono::duration<double> lifetime) const;
 
     std::vector<std::string> m_ids;
-    std::vector<uint64_t> m_hashes; ///< of the ids
+    std::vector<uint64_t> m_hashes; ///< hash of each id
     std::vector<ObservedLoad> m_loads;
-    std::size_t m_idle = 0;
+    std::size_t m_idleCount = 0;
 };
 
 } // namespace yucca::placement
--- a/include/yucca/placement.h
+++ b/include/yucca/placement.h
@@ -1,6 +1,6 @@
-// Placement: which engine of a pool takes a request. Three policies behind
-// one concept: prefix affinity with load-aware replica sets (the default),
-// consistent hashing with bounded loads, and the naive round robin.
+// Placement policies, which choose the engine of a pool that receives a request: prefix affinity with load-aware
+// replica sets (the default), consistent hashing with bounded loads, least loaded, one home engine per prompt, and
+// plain round robin.
 #pragma once
 
 #include "yucca/observed_load.h"
@@ -17,17 +17,16 @@
 namespace yucca::placement
 {
 
-/// The two affinity keys of a request. Requests with an equal shared key
-/// start with the same prompt parts (a workspace's system prompt); turns of
-/// one conversation have equal keys of both kinds.
+/// The two affinity keys of a request. Requests with equal shared keys begin with the same prompt parts (a workspace's
+/// system prompt). All turns of a conversation have the same shared key and the same conversation key.
 struct Affinity {
     uint64_t shared = 0;
     uint64_t conversation = 0;
-    std::vector<std::string> holders = {}; ///< members that likely hold the prompt
+    std::vector<std::string> holders = {}; ///< ids of the members that likely hold the prompt
 };
 
-/// A placement policy: keeps the members of one pool and what this router
-/// knows of their load, and picks a member for each request.
+/// A placement policy: tracks the members of one pool and their estimated loads, and picks a member for each request.
+/// pick() returns the member's index, or nothing if no member is usable.
 template <typename P> concept Policy = requires(P p, std::vector<std::string> ids, Affinity a, const Usable &usable, TimePoint now, std::size_t m, int64_t load)
 {
     p.setMembers(ids);
@@ -39,21 +38,20 @@
     p.reported(m, load, now);
 };
 
-/// How often keys occur, for the few that occur most: a space-saving sketch
-/// (Metwally, Agrawal and El Abbadi, 2005) with exponential decay.
-class HeatSketch
+/// Estimates the frequency of the most frequent keys: a space-saving sketch (Metwally, Agrawal and El Abbadi, 2005)
+/// with exponential decay.
+class FrequencySketch
 {
 public:
-    HeatSketch(std::size_t capacity, std::chrono::duration<double> halfLife);
+    FrequencySketch(std::size_t capacity, std::chrono::duration<double> halfLife);
 
     /// Counts one occurrence of a key.
     void count(uint64_t key, TimePoint now);
-    /// A cautious estimate of the key's share of all occurrences, in [0, 1]:
-    /// the count less its standard error, so that a key seen once or twice
-    /// is not taken for a hot one.
+    /// A conservative estimate of the key's share of all occurrences, in [0, 1]. It is the count less its standard
+    /// error, so that a key seen once or twice does not look popular.
     double share(uint64_t key) const;
-    /// True while a key is among those counted.
-    bool counts(uint64_t key) const
+    /// True if the sketch holds a count for the key.
+    bool isTracked(uint64_t key) const
     {
         return m_counts.count(key) > 0;
     }
@@ -75,22 +73,20 @@
 
 /// Settings of PrefixAffinity.
 struct AffinityOptions {
-    double loadFactor = 1.5; ///< c: no engine above c times the mean load, plus the slack
-    double slack = 3.0; ///< requests: below a few in flight, a late report's noise is no overload
-    double fillFactor = 0.1; ///< the share of a mean engine's load that one shared key may fill
-    double onsetFactor = 1.0; ///< the share of a mean engine's load that one request from every router may fill
-    std::chrono::duration<double> reportLifetime{2.0}; ///< a load report's weight decays by e in this time
-    std::chrono::duration<double> heatHalfLife{30.0}; ///< of the counts behind the replica sets
-    std::chrono::duration<double> surgeHalfLife{3.0}; ///< of the counts that notice a surge as it begins
-    std::size_t heatKeys = 512; ///< shared keys counted
+    double loadFactor = 1.5; ///< upper bound of an engine's load, as a multiple of the mean load, plus the slack
+    double slack = 3.0; ///< requests added to the bound: at a few requests in flight, the error of a delayed report must not look like overload
+    double fillFactor = 0.1; ///< target share of a mean engine's load that one shared key occupies
+    double burstFillFactor = 1.0; ///< target share of a mean engine's load taken by one simultaneous request from each router
+    std::chrono::duration<double> reportLifetime{2.0}; ///< time in which the weight of a load report falls by a factor of e
+    std::chrono::duration<double> longTermHalfLife{30.0}; ///< of the long-term counts that size the replica sets
+    std::chrono::duration<double> shortTermHalfLife{3.0}; ///< of the short-term counts that detect a sudden rise of a key
+    std::size_t trackedKeys = 512; ///< shared keys counted per sketch
 };
 
-/// Prefix affinity with load-aware replica sets. A shared key owns the
-/// first k members in its rendezvous order, k growing with the key's share
-/// of the traffic; a conversation goes to the member of that set that is
-/// first in its own rendezvous order, and past members whose estimated load
-/// is at the bound. Every router computes the same orders, so a
-/// conversation returns to its engine through any of them.
+/// Prefix affinity with load-aware replica sets. A shared key maps to the first k members of its rendezvous order,
+/// where k grows with the key's share of the traffic. A conversation goes to the member of that set that is first in
+/// the conversation's own rendezvous order, skipping members whose estimated load is at the bound. All routers compute
+/// the same orders, so a conversation returns to its engine through any router.
 class PrefixAffinity
 {
 public:
@@ -104,15 +100,15 @@
     std::optional<std::size_t> pick(const Affinity &affinity, const Usable &usable, TimePoint now);
     void placed(std::size_t member, TimePoint now);
     void finished(std::size_t member, TimePoint now);
-    /// A member's own report: the requests in flight on it, from all routers.
+    /// Records a member's own report of its requests in flight from all routers.
     void reported(std::size_t member, int64_t load, TimePoint now);
 
     /// The size of a shared key's replica set in a pool of n members.
     std::size_t replicas(uint64_t sharedKey, std::size_t n);
-    /// The number of shared keys whose width is remembered.
-    std::size_t heldSets() const
+    /// The number of shared keys with a stored replica set size.
+    std::size_t replicaSetCount() const
     {
-        return m_replicas.size();
+        return m_replicaSetSizes.size();
     }
 
 private:
@@ -120,26 +116,25 @@
     {
         return m_loads[member].estimate(m_mean, now, m_options.reportLifetime);
     }
-    double sliverReplicas(std::size_t n) const;
-    void forgetColdSets();
+    double replicasForBurst(std::size_t n) const;
+    void dropUntrackedReplicaSets();
     void refreshMean(const Usable &usable, TimePoint now);
 
     AffinityOptions m_options;
     std::vector<std::string> m_ids;
-    std::vector<uint64_t> m_hashes; ///< of the ids
+    std::vector<uint64_t> m_hashes; ///< hash of each id
     std::vector<ObservedLoad> m_loads;
-    HeatSketch m_heat;
-    HeatSketch m_surge;
-    std::unordered_map<uint64_t, std::size_t> m_replicas; ///< the sets wider than one, by shared key
-    double m_mean = 0; ///< the pool's mean load, refreshed now and then
-    int64_t m_ownTotal = 0;
+    FrequencySketch m_longTermFrequency;
+    FrequencySketch m_shortTermFrequency;
+    std::unordered_map<uint64_t, std::size_t> m_replicaSetSizes; ///< replica set sizes above one, by shared key
+    double m_mean = 0; ///< mean load of the pool, recomputed periodically
+    int64_t m_ownInflightTotal = 0;
     TimePoint m_meanAt{};
     bool m_meanStale = true;
 };
 
-/// Consistent hashing with bounded loads on the conversation key, bounding
-/// only this router's own requests: the fleet's first policy, kept to
-/// measure against.
+/// Consistent hashing with bounded loads on the conversation key. The bound covers this router's own requests only.
+/// Serves as a baseline in comparisons.
 class OwnBound
 {
 public:
@@ -159,11 +154,11 @@
 
 private:
     ring::BoundedRing m_ring;
-    std::vector<int64_t> m_own;
+    std::vector<int64_t> m_ownInflight;
 };
 
-/// The member with the least load for its place: for plain services, which
-/// hold nothing of a caller that a later request would find again.
+/// Picks the least loaded member. Meant for plain services, which keep no state that a caller's later request would
+/// need.
 class LeastLoaded : public ObservedMembers
 {
 public:
@@ -172,8 +167,8 @@
     {
     }
 
-    /// Among equally loaded members the key decides, so that routers that
-    /// know as little of a pool do not all pick the same member.
+    /// The key breaks ties between equally loaded members, so that routers with the same sparse information do not all
+    /// pick the same member.
     std::optional<std::size_t> pick(const Affinity &affinity, const Usable &usable, TimePoint now);
 
 private:
@@ -182,22 +177,20 @@
 
 /// Settings of PromptHome.
 struct HomeOptions {
-    /// No member above this multiple of the service's mean load, plus the slack.
-    /// Below the bound that must hold, as reports come late.
+    /// The upper bound of a member's load, as a multiple of the service's mean load, plus the slack. The value is below
+    /// the bound that the fleet must keep, because reports are delayed.
     double loadFactor = 1.5;
-    double slack = 2.0; ///< requests: below a few in flight a late report's noise is no overload
+    double slack = 2.0; ///< requests added to the bound: at a few requests in flight, the error of a delayed report must not look like overload
     std::chrono::duration<double> reportLifetime{3.0};
-    /// The bound is never below this multiple of the mean of the members in use,
-    /// plus one: where the others idle by order, all routers would send to the
-    /// one that looks least loaded.
-    double leastFactor = 1.1;
+    /// The bound is at least this multiple of the mean load of the usable members, plus one. Without this minimum, when
+    /// the other members are kept idle, all routers would send to the member that looks least loaded.
+    double usableMeanFactor = 1.1;
 };
 
-/// One home for each prompt: of the members that likely hold it the least
-/// loaded; where none is known, the one that ranks first in the prompt's
-/// rendezvous order, which every router computes alike; the next while the ones
-/// before are at the bound. A prompt that is read at two members is read twice,
-/// and from then on evens out their loads.
+/// Gives each prompt one home. Of the members that likely hold the prompt, the least loaded one is picked. If none is
+/// known, the first member in the prompt's rendezvous order is picked, which every router computes alike. Members at
+/// the load bound are skipped. A prompt that spills to a second member is processed twice, and both members then share
+/// its load.
 class PromptHome : public ObservedMembers
 {
 public:
@@ -212,7 +205,7 @@
     HomeOptions m_options;
 };
 
-/// The naive baseline: members in turn, no affinity, no bound.
+/// Baseline policy: picks the members in turn, without affinity or load bound.
 class RoundRobin
 {
 public:
--- a/include/yucca/regions.h
+++ b/include/yucca/regions.h
@@ -1,4 +1,4 @@
-// Regions: which failure domains lie in which, and where a request may go.
+// Regions: the region of each failure domain, and the regions that a request may go to.
 #pragma once
 
 #include <algorithm>
@@ -9,22 +9,22 @@
 namespace yucca
 {
 
-/// The region of each failure domain.
+/// Maps each failure domain to its region.
 using Regions = std::map<std::string, std::string>;
 
-/// The regions whose endpoints may get a request: those that its route and its
-/// workspace both allow, each of which may leave the choice open.
+/// The regions whose endpoints may receive a request: those allowed by both its route and its workspace. Either one may
+/// allow all regions.
 class RegionConstraint
 {
 public:
-    /// An empty list leaves the choice open.
+    /// Restricts the allowed regions to those in the list. An empty list restricts nothing.
     void restrictTo(const std::vector<std::string> &regions)
     {
         if (regions.empty()) {
             return;
         }
-        if (!m_bound) {
-            m_bound = true;
+        if (!m_restricted) {
+            m_restricted = true;
             m_allowed = regions;
             return;
         }
@@ -32,15 +32,16 @@
             return std::find(regions.begin(), regions.end(), region) == regions.end();
         });
     }
-    /// An endpoint whose region is not known is in none that a constraint allows.
+    /// True if an endpoint in the region may receive the request. An unknown (empty) region is allowed only without a
+    /// restriction.
     bool allows(const std::string &region) const
     {
-        return !m_bound || std::find(m_allowed.begin(), m_allowed.end(), region) != m_allowed.end();
+        return !m_restricted || std::find(m_allowed.begin(), m_allowed.end(), region) != m_allowed.end();
     }
     bool operator==(const RegionConstraint &) const = default;
 
 private:
-    bool m_bound = false;
+    bool m_restricted = false;
     std::vector<std::string> m_allowed;
 };
 
--- a/include/yucca/types.h
+++ b/include/yucca/types.h
@@ -1,4 +1,4 @@
-// Core types and enums shared by every yuccasaddle program.
+// Core types and enums shared by all yuccasaddle programs.
 #pragma once
 
 #include <array>
@@ -13,50 +13,50 @@
 namespace yucca
 {
 
-/// An error carried in a std::variant result: a stable code and a message.
+/// The error of a Result: a stable code and a message.
 struct Error {
-    int code = 0; ///< HTTP-like status: 400 bad input, 404 absent, 409 conflict, 503 unavailable.
+    int code = 0; ///< like an HTTP status: 400 bad input, 404 not found, 409 conflict, 503 unavailable
     std::string message;
 };
 
 /// The result of an operation that can fail: the value or an Error.
 template <typename T> using Result = std::variant<T, Error>;
 
-/// True when a Result holds its value.
+/// True if the Result holds a value.
 template <typename T> bool ok(const Result<T> &r)
 {
     return std::holds_alternative<T>(r);
 }
 
-/// The placement policy of a router (placement.h).
+/// The placement policy of a router (see placement.h).
 enum class Policy {
     Affinity, ///< prefix affinity with load-aware replica sets
-    Bounded, ///< consistent hashing with bounds on the router's own loads
-    Home, ///< one engine for each prompt, the next in its order while that one is at the bound
-    LeastLoaded, ///< the least loaded endpoint, no affinity
-    RoundRobin, ///< the naive baseline: no affinity, no bound
+    Bounded, ///< consistent hashing with bounds on this router's own requests in flight
+    Home, ///< one home engine per prompt; the next in the prompt's rendezvous order while the home is at the load bound
+    LeastLoaded, ///< the least loaded endpoint, without affinity
+    RoundRobin, ///< baseline: without affinity or load bound
 };
 
-/// What an endpoint serves.
+/// The kind of an endpoint.
 enum class EndpointKind {
     Engine, ///< a language model engine (OpenAI-style chat completions)
-    Service, ///< a plain service (scheduler, ledger); some calls not idempotent
+    Service, ///< a plain service (scheduler, ledger); some of its calls are not idempotent
 };
 
-/// An endpoint's state as the VM list and its own load report tell it.
+/// The state of an endpoint according to the VM list and the endpoint's own load report.
 enum class EndpointState {
     Live,
     Leaving,
 };
 
-/// What a caller is told about a request that did not complete.
+/// The outcome that the router reports to a caller.
 enum class Outcome {
-    Done, ///< answered fully
-    NotRun, ///< certainly not executed; safe to retry after Retry-After
-    Unknown, ///< may have executed; a retry with the same key returns the stored answer or waits
+    Done, ///< completed
+    NotRun, ///< not executed; safe to retry after Retry-After
+    Unknown, ///< possibly executed; a retry with the same key returns the stored answer or waits for it
 };
 
-/// A pair table mapping an enum to its wire name.
+/// A table that maps the values of an enum to their names on the wire.
 template <typename E, std::size_t N> using NameTable = std::array<std::pair<E, std::string_view>, N>;
 
 inline constexpr NameTable<Policy, 5> policyNames{{{Policy::Affinity, "affinity"},
@@ -68,7 +68,7 @@
 inline constexpr NameTable<EndpointState, 2> endpointStateNames{{{EndpointState::Live, "live"}, {EndpointState::Leaving, "leaving"}}};
 inline constexpr NameTable<Outcome, 3> outcomeNames{{{Outcome::Done, "done"}, {Outcome::NotRun, "not_run"}, {Outcome::Unknown, "unknown"}}};
 
-/// The wire name of an enum value, looked up in its table.
+/// The wire name of an enum value, or "?" if the table lacks the value.
 template <typename E, std::size_t N> constexpr std::string_view nameOf(const NameTable<E, N> &table, E value)
 {
     for (const auto &[e, n] : table) {
@@ -79,7 +79,7 @@
     return "?";
 }
 
-/// The enum value of a wire name, or nothing when the name is unknown.
+/// The enum value with the given wire name, or nothing if the name is unknown.
 template <typename E, std::size_t N> constexpr std::optional<E> parseName(const NameTable<E, N> &table, std::string_view name)
 {
     for (const auto &[e, n] : table) {
@@ -90,32 +90,32 @@
     return std::nullopt;
 }
 
-/// An endpoint as a router knows it: from the VM list, plus its own report.
+/// An endpoint as a router knows it from the VM list and from the endpoint's own reports.
 struct Endpoint {
     std::string id; ///< VM name, unique in the fleet
-    std::string host; ///< IPv4 address, loopback in tests
+    std::string host; ///< IPv4 address; loopback in tests
     uint16_t port = 0;
-    std::string pool; ///< the pool of engines (or services) it belongs to
+    std::string pool; ///< name of the pool of engines or services that it belongs to
     EndpointKind kind = EndpointKind::Engine;
     EndpointState state = EndpointState::Live;
     std::string zone = {}; ///< failure domain
-    /// When this incarnation started, in Unix ms; 0: not told. An endpoint that
-    /// starts again keeps its id, and holds and knows nothing of before.
+    /// Start time of this incarnation in Unix milliseconds, or 0 if unknown. A restarted endpoint keeps its id but
+    /// loses all of its state.
     int64_t born = 0;
-    std::string region = {}; ///< of the failure domain; empty: not known
-    /// How much longer it was cold when its entry was read, in ms: it has just
-    /// started, or its failure domain was evacuated, and bears few requests.
+    std::string region = {}; ///< region of the failure domain; empty if unknown
+    /// Remaining cold period in milliseconds when the entry was read. An endpoint is cold, and can take only a few
+    /// requests, after a start or after an evacuation of its failure domain.
     int64_t coldMs = 0;
     bool operator==(const Endpoint &) const = default;
 };
 
-/// True for two records of one incarnation of one endpoint.
+/// True if both records describe the same incarnation of the same endpoint.
 inline bool sameIncarnation(const Endpoint &a, const Endpoint &b)
 {
     return a.id == b.id && a.born == b.born;
 }
 
-/// A key for what is remembered of one incarnation of an endpoint.
+/// A map key that identifies one incarnation of an endpoint.
 inline std::string incarnationKey(const Endpoint &e)
 {
     return e.id + "#" + std::to_string(e.born);
--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -33,8 +33,8 @@
 Clock::duration TokenBucket::wait(Clock::time_point now) const
 {
     const double elapsed = std::chrono::duration<double>(now - m_last).count();
-    const double missing = std::max(0.0, 1.0 - m_tokens) - m_rate * std::max(0.0, elapsed);
-    return std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(std::max(0.0, missing) / m_rate));
+    const double missingTokens = std::max(0.0, 1.0 - m_tokens) - m_rate * std::max(0.0, elapsed);
+    return std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(std::max(0.0, missingTokens) / m_rate));
 }
 
 void TokenBucket::setRate(double ratePerS, double burst)
@@ -44,14 +44,14 @@
     m_tokens = std::min(m_tokens, burst);
 }
 
-// The counts of the present part of the window.
+// The slice that contains now, reset if it still holds counts of an earlier window.
 RetryBudget::Slice &RetryBudget::sliceAt(Clock::time_point now)
 {
     const auto length = std::max<Clock::duration>(m_limits.window / slicesPerWindow, Millis(1));
-    const int64_t number = now.time_since_epoch() / length;
-    auto &slice = m_slices[static_cast<std::size_t>(number) % m_slices.size()];
-    if (slice.number != number) {
-        slice = {number, 0, 0};
+    const int64_t index = now.time_since_epoch() / length;
+    auto &slice = m_slices[static_cast<std::size_t>(index) % m_slices.size()];
+    if (slice.index != index) {
+        slice = {index, 0, 0};
     }
     return slice;
 }
@@ -69,7 +69,7 @@
     int64_t requests = 0;
     int64_t retries = 0;
     for (const auto &slice : m_slices) {
-        const int64_t age = current.number - slice.number;
+        const int64_t age = current.index - slice.index;
         requests += age < slicesPerWindow ? slice.requests : 0;
         retries += age <= slicesPerWindow ? slice.retries : 0;
     }
@@ -84,14 +84,14 @@
 {
     std::lock_guard lock(m_mutex);
     if (limits.window != m_limits.window) {
-        m_slices = Slices(); // counted in other parts
+        m_slices = Slices(); // the old counts belong to slices of another length
     }
     m_limits = limits;
 }
 
 Verdict Admission::admit(const std::string &workspace, const Limits &limits, Clock::time_point now, Clock::duration &retryAfter)
 {
-    // A burst of one second's worth.
+    // The burst equals one second of requests.
     const double rate = static_cast<double>(limits.requestsPerS);
     std::lock_guard lock(m_mutex);
     auto it = m_workspaces.find(workspace);
--- a/src/admission.h
+++ b/src/admission.h
@@ -1,5 +1,4 @@
-// Limits on traffic, free of I/O and with the time passed in: token
-// buckets, admission by workspace, and the budget of retries.
+// Traffic limits: token buckets, admission per workspace and retry budgets. No I/O; the caller passes the time in.
 #pragma once
 
 #include "task.h"
@@ -14,22 +13,22 @@
 namespace yucca::limits
 {
 
-/// The limits a workspace runs under.
+/// The limits of a workspace.
 struct Limits {
-    int64_t maxInflight = 64; ///< requests in flight per router
-    int64_t requestsPerS = 100; ///< admitted per router a second
+    int64_t maxInflight = 64; ///< requests in flight, per router
+    int64_t requestsPerS = 100; ///< admitted requests per second, per router
 };
 
-/// A token bucket: refills at ratePerS up to burst tokens.
+/// A token bucket: refills at ratePerS tokens per second up to burst tokens.
 class TokenBucket
 {
 public:
     TokenBucket(double ratePerS, double burst, Clock::time_point now);
-    /// Takes one token; false when none is left.
+    /// Takes one token. Returns false if less than one token is left.
     bool take(Clock::time_point now);
-    /// How long until a token will be there.
+    /// The time until a token becomes available.
     Clock::duration wait(Clock::time_point now) const;
-    /// Changes the rate and burst; the tokens held stay, up to the new burst.
+    /// Changes the rate and the burst. The bucket keeps its tokens, up to the new burst.
     void setRate(double ratePerS, double burst);
     double rate() const
     {
@@ -45,18 +44,16 @@
     Clock::time_point m_last;
 };
 
-/// What a RetryBudget allows.
+/// The limits of a RetryBudget.
 struct RetryLimits {
-    double ratio = 0.2; ///< retries per first attempt
-    double reserve = 2; ///< and on top, so that a service with few requests can retry at all
-    Millis window{10000}; ///< over which both are counted
+    double ratio = 0.2; ///< retries allowed per first attempt
+    double reserve = 2; ///< retries allowed in addition, so that a service with few requests can retry at all
+    Millis window{10000}; ///< sliding window over which attempts and retries are counted
 };
 
-/// Bounds retries to a share of the requests, so that a failing pool is not
-/// flooded by them. Counted over a sliding window: what a calm router did not
-/// use is there when an endpoint fails. A bucket that held no more than the
-/// reserve refused about 500 of 1,100 repeats that were allowed, after a crash
-/// of a quarter of 90 engines before 60 routers.
+/// Limits retries to a share of the requests, so that retries do not flood a failing pool. Counts over a sliding
+/// window, so that retries unused while a router was healthy are available when an endpoint fails. A token bucket
+/// limited to the reserve would refuse many permitted retries after a large crash.
 class RetryBudget
 {
 public:
@@ -66,20 +63,20 @@
     }
     /// Counts a first attempt.
     void earn(Clock::time_point now);
-    /// Takes one retry; false when the budget is spent.
+    /// Counts one retry and returns true, or returns false if the budget is exhausted.
     bool spend(Clock::time_point now);
-    /// Puts other limits in force; what was counted stays.
+    /// Replaces the limits. The counts stay unless the window changes.
     void setLimits(RetryLimits limits);
 
 private:
-    /// Counts of a part of the window.
+    /// The counts of one slice of the window.
     struct Slice {
-        int64_t number = -1; ///< since the clock's epoch
+        int64_t index = -1; ///< slice index since the clock's epoch
         int64_t requests = 0;
         int64_t retries = 0;
     };
     static constexpr int64_t slicesPerWindow = 20;
-    /// One more than a window has: retries count until they are surely out of it.
+    /// One slice more than a window spans: a retry counts until it has certainly left the window.
     using Slices = std::array<Slice, slicesPerWindow + 1>;
 
     Slice &sliceAt(Clock::time_point now);
@@ -89,11 +86,11 @@
     Slices m_slices;
 };
 
-/// What admission says of a request.
+/// The result of an admission check.
 enum class Verdict {
     Admitted,
-    RateLimited, ///< above the workspace's requests a second
-    AtCapacity, ///< at the workspace's requests in flight
+    RateLimited, ///< the workspace exceeds its requests per second
+    AtCapacity, ///< the workspace has reached its limit of requests in flight
 };
 
 inline constexpr NameTable<Verdict, 3> verdictNames{
@@ -103,9 +100,10 @@
 class Admission
 {
 public:
-    /// Admits one request, or says why not and when to come back.
+    /// Admits one request, or returns the limit that it exceeds and sets retryAfter to the time to wait before
+    /// a retry.
     Verdict admit(const std::string &workspace, const Limits &limits, Clock::time_point now, Clock::duration &retryAfter);
-    /// Ends an admitted request.
+    /// Releases the slot of an admitted request.
     void finished(const std::string &workspace);
 
 private:
@@ -121,7 +119,7 @@
     std::map<std::string, State> m_workspaces;
 };
 
-/// Ends an admitted request when it goes out of scope.
+/// Releases the slot of an admitted request at the end of its scope.
 class AdmissionSlot
 {
 public:
--- a/src/cold_limit.cpp
+++ b/src/cold_limit.cpp
@@ -11,21 +11,21 @@
 namespace
 {
 
-/// A second, and what a send may take longer than the next one on its way.
-constexpr Millis window{1050};
+/// One second, plus the time by which one request may travel longer than the next.
+constexpr Millis windowLength{1050};
 
-/// Windows kept: twice the endpoints of the two-year size.
-constexpr std::size_t mostWindows = 4096;
+/// Twice the number of endpoints that the fleet is planned for.
+constexpr std::size_t maxWindows = 4096;
 
 } // namespace
 
 ColdShare coldShare(const ColdAllowance &allowance, std::size_t routers)
 {
-    const double whole = std::min(allowance.mostPerSecond / 2, std::max(1.0, allowance.perSecond));
-    const auto dealt = static_cast<std::size_t>(std::max(0.0, std::floor(whole)));
+    const double fleetRate = std::min(allowance.maxPerSecond / 2, std::max(1.0, allowance.perSecond));
+    const auto fleetShare = static_cast<std::size_t>(std::max(0.0, std::floor(fleetRate)));
     ColdShare share;
-    share.owners = std::min(routers, dealt);
-    share.perSecond = share.owners == 0 ? 0 : dealt / share.owners;
+    share.owners = std::min(routers, fleetShare);
+    share.perSecond = share.owners == 0 ? 0 : fleetShare / share.owners;
     return share;
 }
 
@@ -57,8 +57,8 @@
     return it == m_allowances.end() ? Millis(0) : it->second.coldFor;
 }
 
-// Owners are the first in the endpoint's rendezvous order of routers, which all
-// routers that know the same fleet compute alike.
+// The owners are the first routers in the endpoint's rendezvous order. All routers that see the same fleet compute the
+// same order.
 bool ColdLimiter::owns(const std::string &endpoint, std::size_t owners) const
 {
     const auto key = ring::hash(endpoint);
@@ -71,21 +71,21 @@
 
 ColdLimiter::Window &ColdLimiter::windowOf(const std::string &service, const std::string &endpoint)
 {
-    auto &held = m_windows[endpoint];
+    auto &window = m_windows[endpoint];
     const auto allowance = m_allowances.find(service);
-    if (held.generation != m_generation && allowance != m_allowances.end()) {
-        held.generation = m_generation;
-        const auto dealt = coldShare(allowance->second, m_others.size() + 1);
-        held.share = m_listed && owns(endpoint, dealt.owners) ? dealt.perSecond : 0;
+    if (window.generation != m_generation && allowance != m_allowances.end()) {
+        window.generation = m_generation;
+        const auto ownerShare = coldShare(allowance->second, m_others.size() + 1);
+        window.share = m_listed && owns(endpoint, ownerShare.owners) ? ownerShare.perSecond : 0;
     }
-    return held;
+    return window;
 }
 
 std::size_t ColdLimiter::available(const std::string &service, const std::string &endpoint, Clock::time_point now)
 {
-    auto &held = windowOf(service, endpoint);
-    forgetOld(held, now);
-    return held.share - std::min(held.share, held.sends.size());
+    auto &window = windowOf(service, endpoint);
+    dropExpired(window, now);
+    return window.share - std::min(window.share, window.sends.size());
 }
 
 std::size_t ColdLimiter::share(const std::string &service, const std::string &endpoint)
@@ -93,29 +93,29 @@
     return windowOf(service, endpoint).share;
 }
 
-void ColdLimiter::sent(const std::string &service, const std::string &endpoint, Clock::time_point now)
+void ColdLimiter::recordSend(const std::string &service, const std::string &endpoint, Clock::time_point now)
 {
-    if (!limits(service)) {
+    if (!isLimited(service)) {
         return;
     }
-    auto &held = windowOf(service, endpoint);
-    forgetOld(held, now);
-    held.sends.push_back(now);
-    forgetIdle(now);
+    auto &window = windowOf(service, endpoint);
+    dropExpired(window, now);
+    window.sends.push_back(now);
+    dropIdleWindows(now);
 }
 
-void ColdLimiter::forgetOld(Window &held, Clock::time_point now)
+void ColdLimiter::dropExpired(Window &window, Clock::time_point now)
 {
-    while (!held.sends.empty() && now - held.sends.front() >= window) {
-        held.sends.pop_front();
+    while (!window.sends.empty() && now - window.sends.front() >= windowLength) {
+        window.sends.pop_front();
     }
 }
 
-void ColdLimiter::forgetIdle(Clock::time_point now)
+void ColdLimiter::dropIdleWindows(Clock::time_point now)
 {
-    if (m_windows.size() > mostWindows) {
+    if (m_windows.size() > maxWindows) {
         std::erase_if(m_windows, [now](const auto &entry) {
-            return entry.second.sends.empty() || now - entry.second.sends.back() >= window;
+            return entry.second.sends.empty() || now - entry.second.sends.back() >= windowLength;
         });
     }
 }
--- a/src/endpoint_refusals.cpp
+++ b/src/endpoint_refusals.cpp
@@ -25,7 +25,7 @@
     return it != m_backOffUntil.end() && it->second > now ? std::optional(it->second) : std::nullopt;
 }
 
-void EndpointRefusals::forgetUnlisted(const std::vector<Endpoint> &listed, Clock::time_point now)
+void EndpointRefusals::dropExpired(const std::vector<Endpoint> &listed, Clock::time_point now)
 {
     std::erase_if(m_backOffUntil, [now](const auto &entry) {
         return entry.second <= now;
@@ -40,7 +40,7 @@
         }
     }
     std::erase_if(m_leaving, [&](const auto &entry) {
-        return now - entry.second > m_options.rememberedUnlisted;
+        return now - entry.second > m_options.unlistedRetention;
     });
 }
 
--- a/src/endpoint_refusals.h
+++ b/src/endpoint_refusals.h
@@ -1,6 +1,5 @@
-// What endpoints said of themselves in their answers that forbids this router
-// to send them more. Free of I/O; answers loads in which the store's entries are
-// late or wrong.
+// Refusals that endpoints stated in their own answers: an endpoint that is leaving or backing off gets no more requests
+// from this router, also while the store's entry is stale or wrong. No I/O.
 #pragma once
 
 #include "task.h"
@@ -14,15 +13,14 @@
 namespace yucca::router
 {
 
-/// Times of EndpointRefusals.
+/// Retention times of EndpointRefusals.
 struct RefusalOptions {
-    /// An endpoint that left and is no longer listed serves on for seconds; its
-    /// entry may come back meanwhile.
-    Millis rememberedUnlisted{std::chrono::minutes(10)};
+    /// An endpoint that left and is no longer listed still serves for some seconds, and its entry may reappear
+    /// meanwhile.
+    Millis unlistedRetention{std::chrono::minutes(10)};
 };
 
-/// Remembers the refusals of one router's endpoints, whether they are listed or
-/// not. Used under the routing table's lock.
+/// Tracks the refusals of endpoints, listed or not. The caller holds the routing table's lock.
 class EndpointRefusals
 {
 public:
@@ -31,30 +29,30 @@
     {
     }
 
-    /// Notes whether this incarnation of an endpoint leaves. True when that is news.
+    /// Records whether this incarnation of an endpoint is leaving. Returns true if the state changed.
     bool noteLeaving(const Endpoint &endpoint, bool leaving, Clock::time_point now);
-    /// True when this incarnation said that it leaves.
-    bool leaving(const Endpoint &endpoint) const
+    /// True if this incarnation announced that it is leaving.
+    bool isLeaving(const Endpoint &endpoint) const
     {
         return m_leaving.count(incarnationKey(endpoint)) > 0;
     }
-    /// The endpoint wants nothing until a moment. Kept by id: one that starts
-    /// again meanwhile is given the rest of that time as well. True when that is news.
+    /// Records that the endpoint accepts no requests until the given time. The entry is kept by id, so a restarted
+    /// endpoint is also left alone for the rest of that time. Returns true if this starts or extends the back-off.
     bool backOff(const std::string &id, Clock::time_point until);
-    /// Until when the endpoint wants nothing; nothing when it takes requests.
+    /// The end of the endpoint's back-off, or nothing if the endpoint accepts requests.
     std::optional<Clock::time_point> backsOffUntil(const std::string &id, Clock::time_point now) const;
-    /// True when nothing may be sent to the endpoint now.
+    /// True if no request may be sent to the endpoint now.
     bool refuses(const Endpoint &endpoint, Clock::time_point now) const
     {
-        return leaving(endpoint) || backsOffUntil(endpoint.id, now);
+        return isLeaving(endpoint) || backsOffUntil(endpoint.id, now);
     }
-    /// Forgets incarnations that have not been listed for long, and what has passed.
-    void forgetUnlisted(const std::vector<Endpoint> &listed, Clock::time_point now);
+    /// Drops expired back-offs, and leaving incarnations that have not been listed for the retention time.
+    void dropExpired(const std::vector<Endpoint> &listed, Clock::time_point now);
 
 private:
     RefusalOptions m_options;
-    std::map<std::string, Clock::time_point> m_leaving; ///< by incarnation: when it was last listed, or said so
-    std::map<std::string, Clock::time_point> m_backOffUntil; ///< by id
+    std::map<std::string, Clock::time_point> m_leaving; ///< by incarnation: when it was last listed, or announced that it is leaving
+    std::map<std::string, Clock::time_point> m_backOffUntil; ///< by endpoint id
 };
 
 } // namespace yucca::router
--- a/src/forwarding.h
+++ b/src/forwarding.h
@@ -1,4 +1,4 @@
-// Which header fields go on from one connection to the next (RFC 9110, 7.6.1).
+// Selects the header fields that a proxy forwards (RFC 9110, section 7.6.1).
 #pragma once
 
 #include "http.h"
@@ -12,19 +12,18 @@
 namespace yucca::http
 {
 
-/// Fields that concern one connection only. Content-Length is among them, as
-/// each message states its own.
-inline constexpr std::array<std::string_view, 11> connectionFields{
+/// Header fields that apply to a single connection. Content-Length is included because each message states its own.
+inline constexpr std::array<std::string_view, 11> hopByHopFields{
     "connection", "keep-alive",     "proxy-connection", "te",     "trailer",           "transfer-encoding",
     "upgrade",    "http2-settings", "content-length",   "expect", "proxy-authenticate"};
 
-/// Compares header names or tokens, ASCII case ignored.
+/// Compares header names or tokens, ignoring ASCII case.
 inline bool sameName(std::string_view a, std::string_view b)
 {
     return boost::beast::iequals(beastView(a), beastView(b));
 }
 
-/// True for a name in a table.
+/// True if the table contains the name, ignoring ASCII case.
 template <typename Table> bool contains(const Table &names, std::string_view name)
 {
     return std::any_of(names.begin(), names.end(), [name](std::string_view known) {
@@ -32,8 +31,8 @@
     });
 }
 
-/// The fields that the message's own Connection header names as hop-by-hop.
-template <typename Fields> std::vector<std::string> namedByConnection(const Fields &fields)
+/// The fields that the message's Connection header marks as hop-by-hop.
+template <typename Fields> std::vector<std::string> connectionOptions(const Fields &fields)
 {
     std::vector<std::string> names;
     const auto range = fields.equal_range(bhttp::field::connection);
@@ -45,14 +44,14 @@
     return names;
 }
 
-/// The end-to-end fields of a message, in their order, repeated ones repeated.
+/// The end-to-end fields of a message, in order, including repeated fields.
 template <typename Fields> Headers endToEnd(const Fields &fields)
 {
-    const auto dropped = namedByConnection(fields);
+    const auto dropped = connectionOptions(fields);
     Headers out;
     for (const auto &field : fields) {
         const std::string_view name(field.name_string().data(), field.name_string().size());
-        if (!contains(connectionFields, name) && !contains(dropped, name)) {
+        if (!contains(hopByHopFields, name) && !contains(dropped, name)) {
             out.emplace_back(std::string(name), std::string(field.value()));
         }
     }
--- a/src/observed_load.cpp
+++ b/src/observed_load.cpp
@@ -18,14 +18,14 @@
     if (now < m_reportedAt) {
         return;
     }
-    m_report = load;
-    m_ownAtReport = m_own;
+    m_lastReport = load;
+    m_ownInflightAtReport = m_ownInflight;
     m_reportedAt = now;
 }
 
 double ObservedLoad::weight(TimePoint now, std::chrono::duration<double> lifetime) const
 {
-    if (m_report < 0) {
+    if (m_lastReport < 0) {
         return 0;
     }
     const double age = std::chrono::duration<double>(now - m_reportedAt).count();
@@ -34,14 +34,15 @@
 
 double ObservedLoad::estimate(double prior, TimePoint now, std::chrono::duration<double> lifetime) const
 {
-    const double fresh = weight(now, lifetime);
-    const double corrected = static_cast<double>(m_report + m_own - m_ownAtReport);
-    return std::max(static_cast<double>(m_own), fresh * corrected + (1 - fresh) * prior);
+    const double freshness = weight(now, lifetime);
+    const double corrected = static_cast<double>(m_lastReport + m_ownInflight - m_ownInflightAtReport);
+    return std::max(static_cast<double>(m_ownInflight), freshness * corrected + (1 - freshness) * prior);
 }
 
-double meanLoad(const std::vector<ObservedLoad> &loads, const Usable &usable, TimePoint now, std::chrono::duration<double> lifetime, Unreported unreported)
+double meanLoad(const std::vector<ObservedLoad> &loads, const Usable &usable, TimePoint now, std::chrono::duration<double> lifetime,
+                MissingReport missingReport)
 {
-    constexpr double meanLifetimes = 5; // of a member's own estimate
+    constexpr double meanLifetimeFactor = 5; // multiple of the report lifetime in a member's own estimate
     double sum = 0;
     double weights = 0;
     int64_t own = 0;
@@ -51,14 +52,14 @@
             continue;
         }
         ++n;
-        own += loads[i].own();
-        if (loads[i].report() < 0 && unreported == Unreported::CountOwn) {
-            sum += static_cast<double>(loads[i].own());
+        own += loads[i].ownInflight();
+        if (loads[i].lastReport() < 0 && missingReport == MissingReport::CountOwnInflight) {
+            sum += static_cast<double>(loads[i].ownInflight());
             weights += 1;
             continue;
         }
-        const double w = loads[i].weight(now, meanLifetimes * lifetime);
-        sum += w * static_cast<double>(std::max<int64_t>(0, loads[i].report()));
+        const double w = loads[i].weight(now, meanLifetimeFactor * lifetime);
+        sum += w * static_cast<double>(std::max<int64_t>(0, loads[i].lastReport()));
         weights += w;
     }
     const double ownMean = n ? static_cast<double>(own) / static_cast<double>(n) : 0;
@@ -73,11 +74,11 @@
     m_hashes = hashesOf(m_ids);
 }
 
-double ObservedMembers::serviceMean(TimePoint now, std::chrono::duration<double> lifetime) const
+double ObservedMembers::serviceMeanLoad(TimePoint now, std::chrono::duration<double> lifetime) const
 {
     const auto members = static_cast<double>(m_loads.size());
-    const double mean = meanLoad(m_loads, Usable(m_loads.size(), true), now, lifetime, Unreported::CountOwn);
-    return members > 0 ? mean * members / (members + static_cast<double>(m_idle)) : 0;
+    const double mean = meanLoad(m_loads, Usable(m_loads.size(), true), now, lifetime, MissingReport::CountOwnInflight);
+    return members > 0 ? mean * members / (members + static_cast<double>(m_idleCount)) : 0;
 }
 
 void ObservedMembers::placed(std::size_t member, TimePoint)
--- a/src/prefix.h
+++ b/src/prefix.h
@@ -1,5 +1,5 @@
-// Prompt prefixes: the stand-in tokenizer, chained block hashes of a
-// prefix (as engines key their prefix caches) and the affinity keys.
+// Prompt prefixes: a stand-in tokenizer, chained block hashes of a prefix (as engines key their prefix caches), and
+// affinity keys.
 #pragma once
 
 #include "yucca/placement.h"
@@ -14,23 +14,21 @@
 namespace yucca::prefix
 {
 
-/// The prompt of a chat request: each message as "role: content", one a line.
+/// The prompt text of a chat request: one line "role: content" per message.
 std::string promptText(const nlohmann::json &messages);
 
-/// Splits text into tokens on white space (the stand-ins' tokenizer).
+/// Splits text into tokens at white space. Stands in for a model's tokenizer.
 std::vector<std::string_view> tokens(std::string_view text);
 
-/// Hashes of the whole blocks of a token sequence, each chained to the
-/// one before, so equal hashes mean equal prefixes.
+/// Hashes of the complete blocks of a token sequence. Each hash is chained to the one before it, so equal hashes mean
+/// equal prefixes.
 std::vector<uint64_t> blockHashes(const std::vector<std::string_view> &toks, std::size_t blockTokens);
 
-/// True for a non-empty list of messages that each have a role and a content
-/// of text or parts.
+/// True for a non-empty list of messages that each have a role and a content of text, parts or null.
 bool wellFormed(const nlohmann::json &messages);
 
-/// The affinity keys of a chat: the shared key covers the workspace and the
-/// leading system messages, the conversation key also the first message
-/// after them. Both are the same for every turn of a conversation.
+/// The affinity keys of a chat. The shared key covers the workspace and the leading system messages; the conversation
+/// key also covers the first message after them. Both keys are the same for every turn of a conversation.
 placement::Affinity affinity(std::string_view workspace, const nlohmann::json &messages);
 
 } // namespace yucca::prefix
--- a/src/prompt_snapshot.cpp
+++ b/src/prompt_snapshot.cpp
@@ -13,13 +13,13 @@
 namespace
 {
 
-std::optional<uint64_t> keyOf(const json &written)
+std::optional<uint64_t> parseKey(const json &keyText)
 {
-    return written.is_string() ? text::fromHex(written.get_ref<const std::string &>()) : std::nullopt;
+    return keyText.is_string() ? text::fromHex(keyText.get_ref<const std::string &>()) : std::nullopt;
 }
 
-// The prompts of each endpoint, the last noted first.
-json snapshotOf(const std::vector<peers::PromptNews> &prompts)
+// Groups the prompts by endpoint, the most recently recorded first.
+json encodeSnapshot(const std::vector<peers::PromptNews> &prompts)
 {
     json out = json::object();
     for (const auto &p : prompts) {
@@ -28,16 +28,16 @@
     return out;
 }
 
-// Whatever of it can be read; others may have written there.
-std::vector<peers::PromptNews> promptsOf(const json &snapshot)
+// Parses a snapshot and skips malformed entries, which other programs may have written.
+std::vector<peers::PromptNews> decodeSnapshot(const json &snapshot)
 {
     std::vector<peers::PromptNews> out;
     if (!snapshot.is_object()) {
         return out;
     }
     for (const auto &[endpoint, keys] : snapshot.items()) {
-        for (const auto &written : keys) {
-            if (const auto key = keyOf(written)) {
+        for (const auto &keyText : keys) {
+            if (const auto key = parseKey(keyText)) {
                 out.push_back({*key, endpoint});
             }
         }
@@ -60,17 +60,17 @@
 Task<void> PromptSnapshot::run()
 {
     while (!m_endpointsKnown() && !m_stopping) {
-        co_await sleepFor(m_options.endpointsCheck);
+        co_await sleepFor(m_options.endpointsPollInterval);
     }
-    for (int tries = 0; tries < m_options.mostReads && !m_stopping; ++tries) {
+    for (int tries = 0; tries < m_options.maxReads && !m_stopping; ++tries) {
         const bool done = co_await read();
         if (done) {
             break;
         }
-        co_await sleepFor(m_options.again);
+        co_await sleepFor(m_options.readRetryDelay);
     }
     while (!m_stopping) {
-        co_await sleepFor(m_options.every);
+        co_await sleepFor(m_options.writeInterval);
         if (!m_stopping && m_isWriter()) {
             co_await write();
         }
@@ -83,7 +83,7 @@
     if (!ok(result)) {
         co_return std::get<Error>(result).code == store::NotFound;
     }
-    const auto prompts = promptsOf(std::get<platform::Object>(result).value);
+    const auto prompts = decodeSnapshot(std::get<platform::Object>(result).value);
     const auto now = Clock::now();
     for (auto p = prompts.rbegin(); p != prompts.rend(); ++p) {
         m_table.toldOfPrompt(*p, now);
@@ -94,11 +94,11 @@
 
 Task<bool> PromptSnapshot::write()
 {
-    const auto known = m_table.knownPrompts(m_options.mostPrompts, Clock::now());
+    const auto known = m_table.knownPrompts(m_options.maxPrompts, Clock::now());
     if (known.empty()) {
         co_return true;
     }
-    const json snapshot = snapshotOf(known);
+    const json snapshot = encodeSnapshot(known);
     auto result = co_await m_api.put(snapshotKind, snapshotName, snapshot, std::nullopt);
     if (!ok(result) && std::get<Error>(result).code == store::NotFound) {
         result = co_await m_api.put(snapshotKind, snapshotName, snapshot, 0);
--- a/src/prompt_snapshot.h
+++ b/src/prompt_snapshot.h
@@ -1,6 +1,5 @@
-// What routers know of prompts and their holders, kept in the store: a router
-// that starts, alone or with all others, goes on with it. Without it a fleet
-// that restarts has its engines read again what they hold.
+// A snapshot of the prompts and their likely holders, kept in the store. A starting router loads it. Without the
+// snapshot, a restarted fleet would make its engines process again the prompts that they already hold.
 #pragma once
 
 #include "object_api.h"
@@ -11,41 +10,40 @@
 namespace yucca::router
 {
 
-/// Kind and name of the snapshot in the store.
+/// Kind and name of the snapshot object in the store.
 inline constexpr const char *snapshotKind = "prompts";
 inline constexpr const char *snapshotName = "holders";
 
-/// Times and bounds of the snapshot.
+/// Intervals and limits of the snapshot.
 struct SnapshotOptions {
-    /// Between two writes. A prompt counts as held for 30 s; one write in 3 s
-    /// is 0.33 calls/s for the whole fleet.
-    Millis every{3000};
-    Millis again{300}; ///< after a read that failed
-    Millis endpointsCheck{20}; ///< until the endpoints are known: no call is made for that
-    int mostReads = 20; ///< tries at a start: 6 s; what was held then is being asked for again by then
-    std::size_t mostPrompts = 4000; ///< the last noted; about 20 B each, of the 1 MB that an object may have
+    /// Between two writes. A prompt counts as held for 30 s; one write per 3 s is 0.33 calls/s for the whole fleet.
+    Millis writeInterval{3000};
+    Millis readRetryDelay{300}; ///< after a failed read
+    Millis endpointsPollInterval{20}; ///< between two checks for a known endpoint list; a check makes no call
+    int maxReads = 20; ///< at a start, 6 s in total; by then callers have requested the held prompts again
+    std::size_t maxPrompts = 4000; ///< most recently recorded ones; about 20 B each, of the 1 MB limit of an object
 };
 
-/// Reads the snapshot at the start of a router, and writes it while this
-/// router is the one that does so. Runs on one event loop.
+/// Loads the snapshot when a router starts, and writes it periodically while this router is the writer. Runs on one
+/// event loop.
 class PromptSnapshot
 {
 public:
-    /// endpointsKnown tells whether all endpoints are listed, without which
-    /// their names say nothing; isWriter whether this router is to write: one
-    /// is enough, two do no harm.
+    /// endpointsKnown returns true once the endpoint list is complete; before that, the endpoint names in a snapshot
+    /// cannot be resolved. isWriter returns true if this router writes the snapshot: one writer is enough, and two do
+    /// no harm.
     PromptSnapshot(platform::ObjectApi &api, RoutingTable &table, std::function<bool()> endpointsKnown, std::function<bool()> isWriter,
                    SnapshotOptions options = {});
 
-    /// Reads once, then writes now and then, until stopped.
+    /// Loads the snapshot once, then writes it periodically, until stop() is called.
     Task<void> run();
     void stop()
     {
         m_stopping = true;
     }
-    /// One read; false when it is to be tried again.
+    /// Reads the snapshot once. Returns false if the read must be retried.
     Task<bool> read();
-    /// One write; false when the store did not take it.
+    /// Writes the snapshot once. Returns false if the store rejected the write or did not answer.
     Task<bool> write();
 
 private:
--- a/src/ring.cpp
+++ b/src/ring.cpp
@@ -61,8 +61,7 @@
     auto it = std::lower_bound(m_points.begin(), m_points.end(), key, [](const Point &p, uint64_t k) {
         return p.hash < k;
     });
-    // Walk clockwise; the bound guarantees some member has room, so the
-    // walk ends within one turn of the ring.
+    // Walk clockwise. By the bound, at least one member has room, so the walk ends within one turn of the ring.
     for (std::size_t step = 0; step < m_points.size(); ++step, ++it) {
         if (it == m_points.end()) {
             it = m_points.begin();
--- a/src/router_configuration.cpp
+++ b/src/router_configuration.cpp
@@ -6,15 +6,15 @@
 namespace
 {
 
-// One way in which a class's requests are answered.
-entry::Route routeOf(const std::string &name, const catalogue::WorkClass &workClass, const settings::RouterSettings &settings)
+// The route of a work class, without its request kind and path prefix.
+entry::Route makeRoute(const std::string &name, const catalogue::WorkClass &workClass, const settings::RouterSettings &settings)
 {
     entry::Route r;
     r.name = name;
     r.host = name;
     r.priority = static_cast<int>(workClass.priority);
     r.timeout = Millis(settings.requestTimeoutMs);
-    r.targetLatency = r.timeout; // an attempt that is not the last gets half of the time left
+    r.targetLatency = r.timeout; // every attempt but the last gets half of the remaining time
     r.eventGapTarget = Millis(settings.streamPauseMs);
     r.maxAttempts = static_cast<int>(settings.maxAttempts);
     r.destinations.push_back({workClass.pool, 1.0});
@@ -23,7 +23,7 @@
 
 void addRoutes(const std::string &name, const catalogue::WorkClass &workClass, const settings::RouterSettings &settings, entry::Configuration &out)
 {
-    entry::Route route = routeOf(name, workClass, settings);
+    entry::Route route = makeRoute(name, workClass, settings);
     if (workClass.kind == EndpointKind::Service) {
         route.kind = entry::RequestKind::NonIdempotent;
         route.pathPrefix = serviceCalls;
--- a/src/router_configuration.h
+++ b/src/router_configuration.h
@@ -1,4 +1,4 @@
-// The own interface's catalogue as the request pipeline's configuration.
+// Converts the catalogue of the native interface into the configuration of the request pipeline.
 #pragma once
 
 #include "catalogue.h"
@@ -10,13 +10,13 @@
 namespace yucca::router
 {
 
-// Routes have no hosts here: a class of work takes the host's place, and how
-// its requests are answered the path's.
+// Routes of the native interface have no hosts. The name of the work class stands in for the host, and the kind of
+// response for the path prefix.
 inline constexpr std::string_view streamedChats = "/streamed/";
 inline constexpr std::string_view wholeChats = "/whole/";
 inline constexpr std::string_view serviceCalls = "/call/";
 
-/// The routes, services and workspaces that a snapshot of the catalogue stands for.
+/// The routes, services and workspaces that a snapshot of the catalogue describes.
 entry::Configuration configurationOf(const catalogue::Snapshot &snapshot, const settings::RouterSettings &settings);
 
 } // namespace yucca::router
--- a/src/router_constraints.cpp
+++ b/src/router_constraints.cpp
@@ -1,5 +1,5 @@
-// The routing table's part on what may take a request besides load: evacuated
-// failure domains, allowed regions, and the limit on cold endpoints.
+// Constraints of the routing table besides load: evacuated failure domains, allowed regions, and the limit on cold
+// endpoints.
 #include "router_core.h"
 
 #include <algorithm>
@@ -10,14 +10,14 @@
 namespace
 {
 
-/// An incarnation that comes back to the list within this time did not start
-/// anew: the store lost its entry, or was away.
-constexpr Millis sameStart{30000};
+/// An incarnation that returns to the list within this time has not restarted: the store lost its entry, or was
+/// unavailable.
+constexpr Millis relistWindow{30000};
 
-/// Of its free requests to cold endpoints, what a router keeps from requests of
-/// each rank below the first, so that they do not crowd out the urgent ones.
-constexpr double reservedARank = 0.15;
-constexpr int mostRanks = 4;
+/// The share of the requests to cold endpoints that a router withholds from less urgent requests, per priority level
+/// below the highest, so that they do not displace urgent ones.
+constexpr double reservedPerPriority = 0.15;
+constexpr int maxReservedPriorities = 4;
 
 } // namespace
 
@@ -29,11 +29,11 @@
     }
     for (const auto &e : m_endpoints) {
         if (isEvacuated(e) && !domains.count(e.zone)) {
-            holdCold(e.id, now + m_coldLimiter.coldFor(e.pool));
+            extendCold(e.id, now + m_coldLimiter.coldFor(e.pool));
         }
     }
     m_evacuated = std::move(domains);
-    rebuild();
+    rebuildPools();
 }
 
 std::set<std::string> RoutingTable::evacuated() const
@@ -57,40 +57,40 @@
 void RoutingTable::noteCold(const std::string &id, Clock::time_point until)
 {
     std::lock_guard lock(m_mutex);
-    if (listed(id)) {
-        holdCold(id, until);
+    if (findListed(id)) {
+        extendCold(id, until);
     }
 }
 
-void RoutingTable::holdCold(const std::string &id, Clock::time_point until)
+void RoutingTable::extendCold(const std::string &id, Clock::time_point until)
 {
-    auto &held = m_health[id].coldUntil;
-    held = std::max(held, until);
+    auto &coldUntil = m_health[id].coldUntil;
+    coldUntil = std::max(coldUntil, until);
 }
 
-// Takes an endpoint that joined, or does not answer, for one that has just
-// started: its own word of that comes with a heartbeat's delay, or not at all.
-void RoutingTable::presumeCold(const Endpoint &endpoint, Clock::time_point now)
+// Assumes that an endpoint which joined or does not answer has just started: its own report of that arrives a heartbeat
+// late, or never.
+void RoutingTable::assumeCold(const Endpoint &endpoint, Clock::time_point now)
 {
     const auto coldFor = m_coldLimiter.coldFor(endpoint.pool);
-    if (coldFor > Millis(0) && !m_droppedAt.count(incarnationKey(endpoint))) {
-        holdCold(endpoint.id, now + coldFor);
+    if (coldFor > Millis(0) && !m_unlistedAt.count(incarnationKey(endpoint))) {
+        extendCold(endpoint.id, now + coldFor);
     }
 }
 
-void RoutingTable::forgetDropped(Clock::time_point now)
+void RoutingTable::pruneUnlisted(Clock::time_point now)
 {
-    std::erase_if(m_droppedAt, [now](const auto &entry) {
-        return now - entry.second > sameStart;
+    std::erase_if(m_unlistedAt, [now](const auto &entry) {
+        return now - entry.second > relistWindow;
     });
 }
 
-// Whether a service limits its cold endpoints is asked here and not when one is
-// noted: its entry may be listed before the configuration.
+// Whether the service limits its cold endpoints is checked here, not when the cold period is recorded: an endpoint may
+// be listed before the configuration.
 bool RoutingTable::isCold(const Endpoint &endpoint, Clock::time_point now) const
 {
     const auto health = m_health.find(endpoint.id);
-    return health != m_health.end() && health->second.coldUntil > now && m_coldLimiter.limits(endpoint.pool);
+    return health != m_health.end() && health->second.coldUntil > now && m_coldLimiter.isLimited(endpoint.pool);
 }
 
 std::size_t RoutingTable::coldCount(Clock::time_point now) const
@@ -101,24 +101,24 @@
     }));
 }
 
-// Marks those of a pool's cold members usable that this router may send to now.
-// Where no other member is usable, a part is kept for more urgent requests.
+// Marks the cold members usable that this router may send to now. If no other member is usable, a part of the allowance
+// is withheld for more urgent requests.
 std::size_t RoutingTable::allowCold(const std::string &name, const Pool &pool, const std::vector<std::size_t> &cold, int priority, std::size_t warm,
                                     Clock::time_point now, placement::Usable &usable)
 {
     std::size_t free = 0;
-    std::size_t whole = 0;
+    std::size_t totalShare = 0;
     std::vector<std::size_t> allowed;
     for (const auto member : cold) {
         const auto &id = pool.members[member].id;
         const auto left = m_coldLimiter.available(name, id, now);
         free += left;
-        whole += m_coldLimiter.share(name, id);
+        totalShare += m_coldLimiter.share(name, id);
         if (left > 0) {
             allowed.push_back(member);
         }
     }
-    const auto reserved = reservedARank * std::clamp(priority, 0, mostRanks) * static_cast<double>(whole);
+    const auto reserved = reservedPerPriority * std::clamp(priority, 0, maxReservedPriorities) * static_cast<double>(totalShare);
     if (warm == 0 && static_cast<double>(free) <= reserved) {
         return 0;
     }
@@ -128,18 +128,18 @@
     return allowed.size();
 }
 
-// The place of the member that a pool's policy picks.
-std::optional<std::size_t> RoutingTable::pickIn(const std::string &name, Pool &pool, const placement::Affinity &asked, const std::set<std::string> &exclude,
-                                                Clock::time_point now, const Constraints &constraints)
+// The index of the member that the pool's policy picks.
+std::optional<std::size_t> RoutingTable::pickMember(const std::string &name, Pool &pool, const placement::Affinity &requestAffinity,
+                                                    const std::set<std::string> &exclude, Clock::time_point now, const Constraints &constraints)
 {
-    placement::Affinity affinity = asked;
-    for (const auto &holder : likelyHolders(asked.conversation, now, constraints)) {
+    placement::Affinity affinity = requestAffinity;
+    for (const auto &holder : likelyHolders(requestAffinity.conversation, now, constraints)) {
         affinity.holders.push_back(holder.id);
     }
     placement::Usable usable(pool.members.size());
     std::vector<std::size_t> cold;
     std::size_t warm = 0;
-    const bool limited = m_coldLimiter.limits(name);
+    const bool limited = m_coldLimiter.isLimited(name);
     for (std::size_t i = 0; i < pool.members.size(); ++i) {
         const auto &m = pool.members[i];
         const auto &health = m_health[m.id];
@@ -167,7 +167,7 @@
 {
     std::lock_guard lock(m_mutex);
     auto it = m_pools.find(pool);
-    const auto index = it == m_pools.end() ? std::nullopt : pickIn(pool, it->second, affinity, exclude, now, constraints);
+    const auto index = it == m_pools.end() ? std::nullopt : pickMember(pool, it->second, affinity, exclude, now, constraints);
     if (!index) {
         return std::nullopt;
     }
@@ -179,7 +179,7 @@
     const Endpoint &chosen = it->second.members[*index];
     ++m_health[chosen.id].inflight;
     ++m_health[chosen.id].placed;
-    m_coldLimiter.sent(pool, chosen.id, now);
+    m_coldLimiter.recordSend(pool, chosen.id, now);
     return chosen;
 }
 
@@ -190,16 +190,16 @@
         || (isCold(endpoint, now) && m_coldLimiter.available(endpoint.pool, endpoint.id, now) == 0)) {
         return false;
     }
-    m_coldLimiter.sent(endpoint.pool, endpoint.id, now);
+    m_coldLimiter.recordSend(endpoint.pool, endpoint.id, now);
     return true;
 }
 
-// True for an endpoint that has failed lately, or leaves.
-bool RoutingTable::passedBy(const Endpoint &endpoint, Clock::time_point now) const
+// True if the endpoint has failed recently or is leaving.
+bool RoutingTable::isFailedOrLeaving(const Endpoint &endpoint, Clock::time_point now) const
 {
     const auto health = m_health.find(endpoint.id);
     const bool failed = health != m_health.end() && (health->second.suspectUntil > now || health->second.ejectedUntil > now);
-    return failed || m_refusals.leaving(endpoint);
+    return failed || m_refusals.isLeaving(endpoint);
 }
 
 std::optional<Clock::time_point> RoutingTable::backOffEnds(const std::string &pool, Clock::time_point now, const Constraints &constraints) const
@@ -207,7 +207,7 @@
     std::lock_guard lock(m_mutex);
     std::optional<Clock::time_point> first;
     for (const auto &e : m_endpoints) {
-        if (e.pool != pool || isEvacuated(e) || passedBy(e, now) || !constraints.regions.allows(e.region)) {
+        if (e.pool != pool || isEvacuated(e) || isFailedOrLeaving(e, now) || !constraints.regions.allows(e.region)) {
             continue;
         }
         const auto until = m_refusals.backsOffUntil(e.id, now);
@@ -224,13 +224,13 @@
     std::lock_guard lock(m_mutex);
     bool evacuated = false;
     bool cold = false;
-    bool elsewhere = false;
+    bool otherRegion = false;
     for (const auto &e : m_endpoints) {
-        if (e.pool != pool || exclude.count(e.id) || passedBy(e, now)) {
+        if (e.pool != pool || exclude.count(e.id) || isFailedOrLeaving(e, now)) {
             continue;
         }
         const bool allowed = constraints.regions.allows(e.region);
-        elsewhere = elsewhere || !allowed;
+        otherRegion = otherRegion || !allowed;
         evacuated = evacuated || (allowed && isEvacuated(e));
         cold = cold || (allowed && !isEvacuated(e) && isCold(e, now));
     }
@@ -240,7 +240,7 @@
     if (evacuated) {
         return Obstacle::Evacuated;
     }
-    return elsewhere ? Obstacle::Region : Obstacle::Unusable;
+    return otherRegion ? Obstacle::Region : Obstacle::Unusable;
 }
 
 } // namespace yucca::router
--- a/src/router_core.cpp
+++ b/src/router_core.cpp
@@ -13,7 +13,7 @@
     return a.id < b.id;
 }
 
-// The place of an endpoint in a list sorted by id.
+// The index of an endpoint in a list sorted by id.
 std::optional<std::size_t> findById(const std::vector<Endpoint> &sorted, const std::string &id)
 {
     auto it = std::lower_bound(sorted.begin(), sorted.end(), id, [](const Endpoint &e, const std::string &want) {
@@ -30,8 +30,8 @@
     return findById(sorted, id).has_value();
 }
 
-// The endpoints in a state, sorted by id.
-std::vector<Endpoint> inState(const std::vector<Endpoint> &endpoints, EndpointState state)
+// The endpoints in the given state, sorted by id.
+std::vector<Endpoint> endpointsInState(const std::vector<Endpoint> &endpoints, EndpointState state)
 {
     std::vector<Endpoint> out;
     std::copy_if(endpoints.begin(), endpoints.end(), std::back_inserter(out), [state](const Endpoint &e) {
@@ -50,16 +50,16 @@
 
 bool RoutingTable::setEndpoints(const std::vector<Endpoint> &endpoints, Clock::time_point now)
 {
-    auto live = inState(endpoints, EndpointState::Live);
-    auto leaving = inState(endpoints, EndpointState::Leaving);
+    auto live = endpointsInState(endpoints, EndpointState::Live);
+    auto leaving = endpointsInState(endpoints, EndpointState::Leaving);
     std::lock_guard lock(m_mutex);
     m_leaving = std::move(leaving);
-    m_refusals.forgetUnlisted(live, now);
+    m_refusals.dropExpired(live, now);
     if (live == m_endpoints) {
         return false;
     }
-    // An endpoint that left the VM list and came back starts afresh; one
-    // that has gone is forgotten once nothing of ours is in flight on it.
+    // An endpoint that left the VM list and returned starts without failures. An endpoint that is gone is dropped once
+    // this router has nothing in flight on it.
     for (auto it = m_health.begin(); it != m_health.end();) {
         const bool listed = contains(live, it->first);
         if (listed && !contains(m_endpoints, it->first)) {
@@ -70,10 +70,10 @@
     }
     for (const auto &e : m_endpoints) {
         if (!contains(live, e.id)) {
-            m_droppedAt[incarnationKey(e)] = now;
+            m_unlistedAt[incarnationKey(e)] = now;
         }
     }
-    forgetDropped(now);
+    pruneUnlisted(now);
     std::set<std::string> restarted;
     for (const auto &e : live) {
         const auto before = findById(m_endpoints, e.id);
@@ -83,20 +83,20 @@
             ++m_restarts;
         }
         if (!before && e.born == 0) {
-            m_refusals.noteLeaving(e, false, now); // nothing else tells a new incarnation
+            m_refusals.noteLeaving(e, false, now); // an endpoint without a start time: only its return to the list indicates a new incarnation
         }
         if (!m_endpoints.empty() && (!before || restarted.count(e.id))) {
             m_health[e.id].joinedAt = now;
-            presumeCold(e, now);
+            assumeCold(e, now);
         }
     }
     m_endpoints = std::move(live);
-    rebuild(restarted);
+    rebuildPools(restarted);
     return true;
 }
 
-// The record of an endpoint that is listed, also as leaving, or null.
-const Endpoint *RoutingTable::listed(const std::string &id) const
+// The record of a live or leaving endpoint, or null.
+const Endpoint *RoutingTable::findListed(const std::string &id) const
 {
     for (const auto *list : {&m_endpoints, &m_leaving}) {
         if (const auto place = findById(*list, id)) {
@@ -115,36 +115,36 @@
 bool RoutingTable::isCurrent(const Endpoint &endpoint) const
 {
     std::lock_guard lock(m_mutex);
-    return !superseded(endpoint);
+    return !isSuperseded(endpoint);
 }
 
-// True when a later incarnation of the endpoint is listed.
-bool RoutingTable::superseded(const Endpoint &endpoint) const
+// True if a later incarnation of the endpoint is listed.
+bool RoutingTable::isSuperseded(const Endpoint &endpoint) const
 {
-    const auto *current = listed(endpoint.id);
+    const auto *current = findListed(endpoint.id);
     return current && !sameIncarnation(*current, endpoint);
 }
 
 Standing RoutingTable::standingOf(const Endpoint &endpoint) const
 {
     std::lock_guard lock(m_mutex);
-    if (superseded(endpoint)) {
+    if (isSuperseded(endpoint)) {
         return Standing::Restarted;
     }
-    if (!listed(endpoint.id)) {
+    if (!findListed(endpoint.id)) {
         return Standing::Unlisted;
     }
-    return m_refusals.leaving(endpoint) || !contains(m_endpoints, endpoint.id) ? Standing::Leaving : Standing::Live;
+    return m_refusals.isLeaving(endpoint) || !contains(m_endpoints, endpoint.id) ? Standing::Leaving : Standing::Live;
 }
 
 bool RoutingTable::noteLeaving(const Endpoint &endpoint, bool leaving, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
-    const bool news = m_refusals.noteLeaving(endpoint, leaving, now);
-    if (news) {
-        rebuild();
+    const bool changed = m_refusals.noteLeaving(endpoint, leaving, now);
+    if (changed) {
+        rebuildPools();
     }
-    return news;
+    return changed;
 }
 
 bool RoutingTable::backsOff(const Endpoint &endpoint, Clock::time_point now) const
@@ -161,14 +161,14 @@
 
 void RoutingTable::suspect(const std::string &id, Clock::time_point now)
 {
-    constexpr int mostDoublings = 10;
+    constexpr int maxDoublings = 10;
     std::lock_guard lock(m_mutex);
     auto &health = m_health[id];
-    const Millis pause = m_options.suspectFor * (1 << std::min(health.failures, mostDoublings));
+    const Millis pause = m_options.suspectFor * (1 << std::min(health.failures, maxDoublings));
     ++health.failures;
     health.suspectUntil = now + std::min(pause, m_options.suspectForMost);
-    if (const auto *endpoint = listed(id)) {
-        presumeCold(*endpoint, now); // it may be starting again under its id
+    if (const auto *endpoint = findListed(id)) {
+        assumeCold(*endpoint, now); // it may be restarting under the same id
     }
 }
 
@@ -193,7 +193,7 @@
     health.suspectUntil = {};
 }
 
-// A picker of the router's policy for a kind of endpoints, empty.
+// An empty picker of the router's policy for the given kind of endpoints.
 RoutingTable::Picker RoutingTable::makePicker(EndpointKind kind) const
 {
     switch (kind == EndpointKind::Service ? m_options.servicePolicy : m_options.policy) {
@@ -211,10 +211,9 @@
     return placement::RoundRobin();
 }
 
-// Brings every pool's members in line with the endpoints that may take new
-// work; what the pickers know of members that stay is kept, but for those
-// that have started again.
-void RoutingTable::rebuild(const std::set<std::string> &restarted)
+// Updates the members of all pools to the endpoints that accept new requests. The pickers keep the state of members
+// that stay, except for restarted ones.
+void RoutingTable::rebuildPools(const std::set<std::string> &restarted)
 {
     for (auto &[name, pool] : m_pools) {
         pool.members.clear();
@@ -222,21 +221,21 @@
     m_poolNames.clear();
     for (const auto &e : m_endpoints) {
         m_poolNames[e.id] = e.pool;
-        if (m_refusals.leaving(e) || isEvacuated(e)) {
+        if (m_refusals.isLeaving(e) || isEvacuated(e)) {
             continue;
         }
         auto it = m_pools.find(e.pool);
         if (it == m_pools.end()) {
             it = m_pools.emplace(e.pool, Pool{e.kind, makePicker(e.kind), {}}).first;
         } else if (it->second.kind != e.kind) {
-            it->second.kind = e.kind; // told after its endpoints were: a listing may come before the configuration
+            it->second.kind = e.kind; // the endpoints may have been listed before the configuration set their kind
             it->second.picker = makePicker(e.kind);
         }
         it->second.members.push_back(e);
     }
-    std::map<std::string, std::size_t> idle; // by pool
+    std::map<std::string, std::size_t> idleByPool;
     for (const auto &e : m_endpoints) {
-        idle[e.pool] += isEvacuated(e) ? 1 : 0;
+        idleByPool[e.pool] += isEvacuated(e) ? 1 : 0;
     }
     for (auto it = m_pools.begin(); it != m_pools.end();) {
         std::vector<std::string> ids;
@@ -254,11 +253,11 @@
         std::visit(
             [&](auto &picker) {
                 if (kept.size() != ids.size()) {
-                    picker.setMembers(kept); // forgets the others
+                    picker.setMembers(kept); // drops the state of restarted members
                 }
                 picker.setMembers(ids);
-                if constexpr (requires { picker.setIdle(std::size_t{}); }) {
-                    picker.setIdle(idle[it->first]);
+                if constexpr (requires { picker.setIdleCount(std::size_t{}); }) {
+                    picker.setIdleCount(idleByPool[it->first]);
                 }
             },
             it->second.picker);
@@ -266,7 +265,7 @@
     }
 }
 
-bool RoutingTable::suspected(const std::string &id, Clock::time_point now) const
+bool RoutingTable::isSuspected(const std::string &id, Clock::time_point now) const
 {
     const auto health = m_health.find(id);
     return health != m_health.end() && health->second.suspectUntil > now;
@@ -275,7 +274,7 @@
 std::optional<Endpoint> RoutingTable::find(const std::string &id, Clock::time_point now) const
 {
     std::lock_guard lock(m_mutex);
-    const auto *endpoint = suspected(id, now) ? nullptr : listed(id);
+    const auto *endpoint = isSuspected(id, now) ? nullptr : findListed(id);
     return endpoint ? std::optional(*endpoint) : std::nullopt;
 }
 
@@ -286,8 +285,8 @@
     return it == m_health.end() ? Clock::time_point{} : it->second.joinedAt;
 }
 
-// The pool an endpoint takes new work in and its place there, or null.
-RoutingTable::Pool *RoutingTable::poolOf(const std::string &id, std::size_t &member)
+// The pool in which an endpoint accepts new requests, and its index there in member; or null.
+RoutingTable::Pool *RoutingTable::findPool(const std::string &id, std::size_t &member)
 {
     auto name = m_poolNames.find(id);
     if (name == m_poolNames.end()) {
@@ -305,13 +304,13 @@
 void RoutingTable::release(const Endpoint &endpoint, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
-    if (superseded(endpoint)) {
-        return; // the request ended with the incarnation that had it
+    if (isSuperseded(endpoint)) {
+        return; // the request ended with its incarnation
     }
     auto &inflight = m_health[endpoint.id].inflight;
     inflight = std::max<int64_t>(0, inflight - 1);
     std::size_t member = 0;
-    if (auto *pool = poolOf(endpoint.id, member)) {
+    if (auto *pool = findPool(endpoint.id, member)) {
         std::visit(
             [&](auto &picker) {
                 picker.finished(member, now);
@@ -320,11 +319,11 @@
     }
 }
 
-// Hands a report to the policy that places requests on the endpoint.
-void RoutingTable::passOn(const std::string &id, int64_t load, Clock::time_point heardAt)
+// Forwards a load report to the picker of the endpoint's pool.
+void RoutingTable::forwardReport(const std::string &id, int64_t load, Clock::time_point heardAt)
 {
     std::size_t member = 0;
-    if (auto *pool = poolOf(id, member)) {
+    if (auto *pool = findPool(id, member)) {
         std::visit(
             [&](auto &picker) {
                 picker.reported(member, load, heardAt);
@@ -339,7 +338,7 @@
     auto &health = m_health[id];
     health.heardLoad = load;
     health.heardAt = now;
-    passOn(id, load, now);
+    forwardReport(id, load, now);
 }
 
 void RoutingTable::toldOf(const peers::LoadReport &report)
@@ -347,9 +346,9 @@
     std::lock_guard lock(m_mutex);
     const auto health = m_health.find(report.endpoint);
     if (health != m_health.end() && report.heardAt < health->second.joinedAt) {
-        return; // of an earlier incarnation
+        return; // from an earlier incarnation
     }
-    passOn(report.endpoint, report.load, report.heardAt);
+    forwardReport(report.endpoint, report.load, report.heardAt);
 }
 
 std::vector<peers::LoadReport> RoutingTable::heardSince(Clock::time_point then) const
@@ -380,7 +379,7 @@
         const Health h = it == m_health.end() ? Health{} : it->second;
         out.push_back({{"id", e.id},
                        {"pool", e.pool},
-                       {"draining", m_refusals.leaving(e)},
+                       {"draining", m_refusals.isLeaving(e)},
                        {"suspect", h.suspectUntil > now},
                        {"inflight", h.inflight},
                        {"placed", h.placed}});
--- a/src/router_core.h
+++ b/src/router_core.h
@@ -1,5 +1,5 @@
-// The router's routing table: pools of endpoints, the policy that places
-// requests on them, and which endpoints are out of use for now.
+// The router's routing table: the endpoints by pool, the policy that places requests on them, and the endpoints that
+// are currently excluded.
 #pragma once
 
 #include "cold_limit.h"
@@ -25,153 +25,158 @@
 namespace yucca::router
 {
 
-/// What besides load bears on where a request may go.
+/// What limits the choice of an endpoint besides load.
 struct Constraints {
     int priority = 0; ///< 0 is the most urgent
     RegionConstraint regions;
 };
 
-/// Why no endpoint of a pool can take a request.
+/// Why no endpoint of a pool can receive a request.
 enum class Obstacle {
-    Unusable, ///< none is listed, or all have failed lately
-    Evacuated, ///< all that are left are in evacuated failure domains
-    Cold, ///< all that are left are cold, and this router's share of what they bear is used up
-    Region, ///< none is in a region that the request may go to
+    Unusable, ///< no endpoint is listed, or all have failed recently
+    Evacuated, ///< all remaining endpoints are in evacuated failure domains
+    Cold, ///< all remaining endpoints are cold, and this router has used up its share of their allowance
+    Region, ///< no endpoint is in an allowed region
 };
 
 /// How the table places requests.
 struct TableOptions {
     Policy policy = Policy::Affinity;
-    Policy servicePolicy = Policy::Affinity; ///< of pools of plain services
+    Policy servicePolicy = Policy::Affinity; ///< for pools of plain services
     placement::AffinityOptions affinity;
     placement::HomeOptions home;
-    int virtualNodes = 64; ///< of Policy::Bounded
-    Millis suspectFor{500}; ///< an endpoint is passed by after its first failed connection; doubled by each next
+    int virtualNodes = 64; ///< points per member on the ring of Policy::Bounded
+    Millis suspectFor{500}; ///< time without requests after a first failed connection; doubled by each further failure up to suspectForMost
     Millis suspectForMost{8000};
 };
 
-/// How an endpoint stands that work was sent to.
+/// The listing state of an endpoint that has received requests.
 enum class Standing {
     Live,
-    Leaving, ///< it is draining, or listed as leaving
+    Leaving, ///< draining, or listed as leaving
     Restarted, ///< a later incarnation is listed
     Unlisted,
 };
 
-/// What is believed of a prompt at the endpoint that takes it.
+/// Where a prompt is likely held when an endpoint is about to receive it.
 struct PromptBelief {
-    bool held = false; ///< the endpoint took it lately
-    std::optional<Endpoint> source; ///< else: another one that likely holds it
+    bool held = false; ///< the endpoint received the prompt recently
+    std::optional<Endpoint> source; ///< if not held: another endpoint that likely holds it
 };
 
-/// The endpoints a router may send to, grouped by pool. Written by the
-/// control thread, read and counted by the traffic threads.
+/// The endpoints that a router may send to, grouped by pool. Thread-safe: the control thread updates it, the traffic
+/// threads use it.
 class RoutingTable
 {
 public:
     explicit RoutingTable(TableOptions options = {});
 
-    /// Replaces the endpoint set with the VM list: live endpoints join,
-    /// leaving and absent ones go. Returns true when the set changed.
+    /// Replaces the endpoints by the VM list. Endpoints that are leaving or absent receive no new requests. Returns
+    /// true if the set of live endpoints changed.
     bool setEndpoints(const std::vector<Endpoint> &endpoints, Clock::time_point now = Clock::now());
-    /// Notes what an endpoint says of itself: one that leaves gets nothing more
-    /// from now on, whatever the listing says of this incarnation. True when that is news.
+    /// Records an endpoint's own report of whether it is leaving. A leaving endpoint receives no further requests, even
+    /// while the VM list shows this incarnation as live. Returns true if the state changed.
     bool noteLeaving(const Endpoint &endpoint, bool leaving, Clock::time_point now);
-    /// Passes an endpoint by until a moment, as its answer asked. True when that is news.
+    /// Excludes an endpoint until the given time, as its answer requested. Returns true if this starts or extends the back-off.
     bool backOff(const Endpoint &endpoint, Clock::time_point until);
-    /// Passes an endpoint by for a while after a failed connection.
+    /// Excludes an endpoint after a failed connection, for a time that doubles with each consecutive failure.
     void suspect(const std::string &id, Clock::time_point now);
-    /// Passes an endpoint by until a moment.
+    /// Excludes an endpoint until the given time.
     void eject(const std::string &id, Clock::time_point until);
-    /// The number of endpoints of a pool that take new work.
+    /// The number of endpoints of a pool that accept new requests.
     std::size_t poolSize(const std::string &pool) const;
-    /// Ends suspicion: the endpoint answered.
+    /// Clears the failure count and the suspicion of an endpoint that answered.
     void recovered(const std::string &id);
-    /// Notes an endpoint's own report of the requests in flight on it.
+    /// Records an endpoint's own report of its requests in flight.
     void reported(const std::string &id, int64_t load, Clock::time_point now);
-    /// The same as another router heard it; an older report than the one held is left out.
+    /// Records a load report that a peer router received. A report older than the last one is ignored.
     void toldOf(const peers::LoadReport &report);
-    /// The reports that this router heard itself after a moment.
+    /// The reports that this router itself received after the given time.
     std::vector<peers::LoadReport> heardSince(Clock::time_point then) const;
 
-    /// Picks an endpoint of a pool, skipping those in exclude, and counts
-    /// one request in flight on it.
+    /// Picks an endpoint of a pool, except those in exclude, and counts one request in flight on it. Returns nothing if
+    /// no endpoint can receive the request; obstacle() gives the reason.
     std::optional<Endpoint> acquire(const std::string &pool, const placement::Affinity &affinity, const std::set<std::string> &exclude, Clock::time_point now,
                                     const Constraints &constraints = {});
-    /// Counts one more send to an endpoint that was acquired; false when it must get none now.
+    /// Counts one more request to an endpoint that was acquired. Returns false if the endpoint must not receive a
+    /// request now.
     bool acquireAgain(const Endpoint &endpoint, Clock::time_point now);
-    /// True when the endpoint wants nothing for now.
+    /// True while the endpoint's back-off lasts.
     bool backsOff(const Endpoint &endpoint, Clock::time_point now) const;
-    /// When the first endpoint of a pool takes requests again, where all that
-    /// could take this one want none for now; nothing where another one can.
+    /// The earliest end of a back-off in the pool, if all endpoints that could otherwise receive the request are
+    /// backing off. Returns nothing if another endpoint can receive it.
     std::optional<Clock::time_point> backOffEnds(const std::string &pool, Clock::time_point now, const Constraints &constraints = {}) const;
-    /// Why acquire() finds no endpoint of a pool.
+    /// The reason why acquire() finds no endpoint of a pool.
     Obstacle obstacle(const std::string &pool, const std::set<std::string> &exclude, Clock::time_point now, const Constraints &constraints = {}) const;
 
-    /// Replaces the failure domains whose endpoints get nothing more. Those of
-    /// a domain that is no longer among them are taken for cold.
+    /// Replaces the set of evacuated failure domains, whose endpoints receive no requests. Endpoints of a domain that
+    /// is no longer in the set are treated as cold.
     void setEvacuated(std::set<std::string> domains, Clock::time_point now);
+    /// The evacuated failure domains.
     std::set<std::string> evacuated() const;
-    /// Puts the services' limits on requests to cold endpoints in force.
+    /// Replaces the limits on requests to cold endpoints, by service.
     void setColdAllowances(std::map<std::string, limits::ColdAllowance> allowances);
-    /// Replaces the routers that share these limits; self is this one's id.
+    /// Replaces the routers that share the limits on cold endpoints; self is this router's id.
     void setRouters(const std::string &self, const std::vector<std::string> &others);
-    /// An endpoint is cold until a moment.
+    /// Treats a listed endpoint as cold until the given time.
     void noteCold(const std::string &id, Clock::time_point until);
-    /// The number of listed endpoints that are taken for cold.
+    /// The number of live endpoints that are treated as cold.
     std::size_t coldCount(Clock::time_point now) const;
 
-    /// Notes that an endpoint took a prompt: it likely holds it from now on.
+    /// Records that an endpoint received a prompt, which it likely holds from now on.
     void tookPrompt(uint64_t prompt, const Endpoint &endpoint, Clock::time_point now);
-    /// The same as another router tells it.
+    /// Records an announcement of a peer router that an endpoint received a prompt.
     void toldOfPrompt(const peers::PromptNews &news, Clock::time_point now);
-    /// What this router knows of prompts and the others likely do not, since
-    /// the last call; the oldest first, and no more than a number.
-    std::vector<peers::PromptNews> takePromptNews(std::size_t most);
-    /// The prompts that endpoints likely hold, the last noted first.
-    std::vector<peers::PromptNews> knownPrompts(std::size_t most, Clock::time_point now) const;
-    /// Whether an endpoint likely holds a prompt, and who else does.
+    /// Removes and returns the oldest prompts, at most `limit`, that this router has not yet announced to its peers.
+    std::vector<peers::PromptNews> takePromptNews(std::size_t limit);
+    /// At most `limit` prompts with the endpoints that likely hold them, the most recently recorded first.
+    std::vector<peers::PromptNews> knownPrompts(std::size_t limit, Clock::time_point now) const;
+    /// Whether the receiving endpoint (taker) likely holds a prompt and, if not, which other endpoint does.
     PromptBelief beliefOf(uint64_t prompt, const Endpoint &taker, Clock::time_point now, const Constraints &constraints = {}) const;
-    /// The home of a prompt, whatever its load: the first in its rendezvous order.
+    /// The home of a prompt regardless of load: the first member in the prompt's rendezvous order. Returns nothing for
+    /// an empty pool.
     std::optional<Endpoint> homeOf(const std::string &pool, uint64_t prompt) const;
-    /// An endpoint that is listed and answers, as far as known; also one that is leaving.
+    /// A listed endpoint that is not suspected of having failed; may be leaving. Returns nothing otherwise.
     std::optional<Endpoint> find(const std::string &id, Clock::time_point now) const;
-    /// When an endpoint joined the ones known before; the epoch for those of the first listing.
+    /// When an endpoint joined. Returns the epoch for endpoints of the first listing and for unknown ones.
     Clock::time_point joinedAt(const std::string &id) const;
-    /// Counts one request out of flight, unless the endpoint has started again since.
+    /// Counts one request in flight less, unless the endpoint has restarted since it was acquired.
     void release(const Endpoint &endpoint, Clock::time_point now);
-    /// False once the endpoint is known to have started again: what is learnt
-    /// of its earlier incarnation says nothing of the one that takes work now.
+    /// False once a later incarnation of the endpoint is listed. What was learned from the earlier incarnation then no
+    /// longer applies.
     bool isCurrent(const Endpoint &endpoint) const;
+    /// The listing state of an endpoint that was acquired earlier.
     Standing standingOf(const Endpoint &endpoint) const;
-    /// How often a listed endpoint started again under its id, so far.
+    /// The number of restarts, under an unchanged id, of listed endpoints so far.
     uint64_t restarts() const;
 
+    /// The live endpoints, sorted by id.
     std::vector<Endpoint> endpoints() const;
+    /// The live endpoints with their states, for the status page.
     nlohmann::json status() const;
 
 private:
     using Picker = std::variant<placement::PrefixAffinity, placement::OwnBound, placement::PromptHome, placement::LeastLoaded, placement::RoundRobin>;
     struct Pool {
-        EndpointKind kind = EndpointKind::Engine; ///< that the picker is for
+        EndpointKind kind = EndpointKind::Engine; ///< kind that the picker was made for
         Picker picker;
-        std::vector<Endpoint> members; ///< sorted by id, as the picker keeps them
+        std::vector<Endpoint> members; ///< sorted by id, like the picker's members
     };
-    /// What is known of one endpoint besides its listing.
+    /// State of one endpoint beyond its listing.
     struct Health {
         Clock::time_point joinedAt{};
-        int failures = 0; ///< connections failed in a row
+        int failures = 0; ///< consecutive failed connections
         Clock::time_point suspectUntil{};
         Clock::time_point ejectedUntil{};
         Clock::time_point coldUntil{};
         int64_t inflight = 0;
         int64_t placed = 0;
-        int64_t heardLoad = 0; ///< of its last report to this router
+        int64_t heardLoad = 0; ///< load in the last report that this router itself received
         Clock::time_point heardAt{};
     };
     Picker makePicker(EndpointKind kind) const;
-    std::optional<std::size_t> pickIn(const std::string &name, Pool &pool, const placement::Affinity &asked, const std::set<std::string> &exclude,
-                                      Clock::time_point now, const Constraints &constraints);
+    std::optional<std::size_t> pickMember(const std::string &name, Pool &pool, const placement::Affinity &requestAffinity, const std::set<std::string> &exclude,
+                                          Clock::time_point now, const Constraints &constraints);
     std::size_t allowCold(const std::string &name, const Pool &pool, const std::vector<std::size_t> &cold, int priority, std::size_t warm,
                           Clock::time_point now, placement::Usable &usable);
     bool isCold(const Endpoint &endpoint, Clock::time_point now) const;
@@ -179,38 +184,38 @@
     {
         return m_evacuated.count(endpoint.zone) > 0;
     }
-    void holdCold(const std::string &id, Clock::time_point until);
-    bool passedBy(const Endpoint &endpoint, Clock::time_point now) const;
-    void presumeCold(const Endpoint &endpoint, Clock::time_point now);
-    void forgetDropped(Clock::time_point now);
-    void rebuild(const std::set<std::string> &restarted = {});
-    const Endpoint *listed(const std::string &id) const;
+    void extendCold(const std::string &id, Clock::time_point until);
+    bool isFailedOrLeaving(const Endpoint &endpoint, Clock::time_point now) const;
+    void assumeCold(const Endpoint &endpoint, Clock::time_point now);
+    void pruneUnlisted(Clock::time_point now);
+    void rebuildPools(const std::set<std::string> &restarted = {});
+    const Endpoint *findListed(const std::string &id) const;
     bool isListed(const Endpoint &endpoint) const;
-    bool superseded(const Endpoint &endpoint) const;
-    const Endpoint *firstInOrder(const std::string &pool, uint64_t prompt, const std::string &except, Clock::time_point now,
+    bool isSuperseded(const Endpoint &endpoint) const;
+    const Endpoint *firstInOrder(const std::string &pool, uint64_t prompt, const std::string &excluded, Clock::time_point now,
                                  const Constraints &constraints) const;
     std::vector<Endpoint> likelyHolders(uint64_t prompt, Clock::time_point now, const Constraints &constraints) const;
-    bool suspected(const std::string &id, Clock::time_point now) const;
-    Pool *poolOf(const std::string &id, std::size_t &member);
-    void passOn(const std::string &id, int64_t load, Clock::time_point heardAt);
+    bool isSuspected(const std::string &id, Clock::time_point now) const;
+    Pool *findPool(const std::string &id, std::size_t &member);
+    void forwardReport(const std::string &id, int64_t load, Clock::time_point heardAt);
 
     mutable std::mutex m_mutex;
     TableOptions m_options;
-    std::vector<Endpoint> m_endpoints; ///< live ones, sorted by id
-    std::vector<Endpoint> m_leaving; ///< listed as leaving, sorted by id
+    std::vector<Endpoint> m_endpoints; ///< live endpoints, sorted by id
+    std::vector<Endpoint> m_leaving; ///< endpoints listed as leaving, sorted by id
     std::map<std::string, Pool> m_pools;
     std::map<std::string, std::string> m_poolNames; ///< by endpoint id
     std::map<std::string, Health> m_health;
     PromptHolders m_holders;
-    std::deque<peers::PromptNews> m_promptNews; ///< not yet told, the oldest first
+    std::deque<peers::PromptNews> m_promptNews; ///< not yet announced, oldest first
     uint64_t m_restarts = 0;
     std::set<std::string> m_evacuated; ///< failure domains
     EndpointRefusals m_refusals;
     limits::ColdLimiter m_coldLimiter;
-    std::map<std::string, Clock::time_point> m_droppedAt; ///< by incarnation: when it was last listed
+    std::map<std::string, Clock::time_point> m_unlistedAt; ///< by incarnation: when it was last listed
 };
 
-/// Holds one acquired endpoint and releases it at the end of its scope.
+/// Releases an acquired endpoint at the end of its scope.
 class PlacedRequest
 {
 public:
--- a/src/router_prompts.cpp
+++ b/src/router_prompts.cpp
@@ -1,4 +1,4 @@
-// The routing table's part on prompts: which endpoints likely hold them.
+// Prompts in the routing table: which endpoints likely hold them.
 #include "router_core.h"
 
 #include <algorithm>
@@ -9,26 +9,25 @@
 namespace
 {
 
-/// An endpoint that joined so lately does not yet hold what its place in the
-/// prompts' orders would make it hold.
-constexpr Millis newlyJoined{15000};
+/// An endpoint that joined within this time does not yet hold the prompts whose home it became.
+constexpr Millis recentJoinPeriod{15000};
 
-/// Prompts to be told that are kept where nobody takes them: seconds of them.
-constexpr std::size_t mostPromptNews = 1000;
+/// Announcements kept while nobody fetches them; enough for several seconds of traffic.
+constexpr std::size_t maxPendingAnnouncements = 1000;
 
-// Finds the first endpoint in a prompt's rendezvous order, but for one.
-class FirstOf
+// Finds the first endpoint in a prompt's rendezvous order, with at most one endpoint excluded.
+class RendezvousFirst
 {
 public:
-    explicit FirstOf(uint64_t prompt, std::string except = {})
+    explicit RendezvousFirst(uint64_t prompt, std::string excluded = {})
         : m_prompt(prompt)
-        , m_except(std::move(except))
+        , m_excluded(std::move(excluded))
     {
     }
-    void offer(const Endpoint &endpoint)
+    void consider(const Endpoint &endpoint)
     {
         const uint64_t rank = placement::rankOf(endpoint.id, m_prompt);
-        if (endpoint.id != m_except && (!m_first || rank > m_rank)) {
+        if (endpoint.id != m_excluded && (!m_first || rank > m_rank)) {
             m_first = &endpoint;
             m_rank = rank;
         }
@@ -40,7 +39,7 @@
 
 private:
     uint64_t m_prompt;
-    std::string m_except; ///< an id; empty: none
+    std::string m_excluded; ///< endpoint id; empty for none
     const Endpoint *m_first = nullptr;
     uint64_t m_rank = 0;
 };
@@ -51,35 +50,35 @@
 {
     std::lock_guard lock(m_mutex);
     const auto it = m_pools.find(pool);
-    FirstOf home(prompt);
+    RendezvousFirst home(prompt);
     if (it != m_pools.end()) {
         for (const auto &member : it->second.members) {
-            home.offer(member);
+            home.consider(member);
         }
     }
     return home.found() ? std::optional(*home.found()) : std::nullopt;
 }
 
-// The first in a prompt's order, also among those that are leaving: they
-// still hold what they read.
-const Endpoint *RoutingTable::firstInOrder(const std::string &pool, uint64_t prompt, const std::string &except, Clock::time_point now,
+// The first endpoint in a prompt's rendezvous order. Endpoints listed as leaving are included, because they still hold the
+// prompts that they received.
+const Endpoint *RoutingTable::firstInOrder(const std::string &pool, uint64_t prompt, const std::string &excluded, Clock::time_point now,
                                            const Constraints &constraints) const
 {
-    FirstOf first(prompt, except);
+    RendezvousFirst first(prompt, excluded);
     for (const auto *list : {&m_endpoints, &m_leaving}) {
         for (const auto &endpoint : *list) {
             if (endpoint.pool == pool && !isEvacuated(endpoint) && !m_refusals.refuses(endpoint, now) && constraints.regions.allows(endpoint.region)) {
-                first.offer(endpoint);
+                first.consider(endpoint);
             }
         }
     }
     return first.found();
 }
 
-// True when the endpoint is listed as this incarnation.
+// True if the listed incarnation of the endpoint is the given one.
 bool RoutingTable::isListed(const Endpoint &endpoint) const
 {
-    const auto *current = listed(endpoint.id);
+    const auto *current = findListed(endpoint.id);
     return current && sameIncarnation(*current, endpoint);
 }
 
@@ -89,10 +88,10 @@
     if (!isListed(endpoint)) {
         return;
     }
-    if (m_holders.note(prompt, endpoint, HolderSource::OwnRequest, now)) {
+    if (m_holders.record(prompt, endpoint, HolderSource::OwnRequest, now)) {
         m_promptNews.push_back({prompt, endpoint.id});
     }
-    if (m_promptNews.size() > mostPromptNews) {
+    if (m_promptNews.size() > maxPendingAnnouncements) {
         m_promptNews.pop_front();
     }
 }
@@ -100,25 +99,25 @@
 void RoutingTable::toldOfPrompt(const peers::PromptNews &news, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
-    if (const auto *endpoint = listed(news.endpoint)) {
-        m_holders.note(news.prompt, *endpoint, HolderSource::Peer, now);
+    if (const auto *endpoint = findListed(news.endpoint)) {
+        m_holders.record(news.prompt, *endpoint, HolderSource::Peer, now);
     }
 }
 
-std::vector<peers::PromptNews> RoutingTable::takePromptNews(std::size_t most)
+std::vector<peers::PromptNews> RoutingTable::takePromptNews(std::size_t limit)
 {
     std::lock_guard lock(m_mutex);
-    const auto end = m_promptNews.begin() + static_cast<std::ptrdiff_t>(std::min(most, m_promptNews.size()));
+    const auto end = m_promptNews.begin() + static_cast<std::ptrdiff_t>(std::min(limit, m_promptNews.size()));
     std::vector<peers::PromptNews> taken(m_promptNews.begin(), end);
     m_promptNews.erase(m_promptNews.begin(), end);
     return taken;
 }
 
-std::vector<peers::PromptNews> RoutingTable::knownPrompts(std::size_t most, Clock::time_point now) const
+std::vector<peers::PromptNews> RoutingTable::knownPrompts(std::size_t limit, Clock::time_point now) const
 {
     std::lock_guard lock(m_mutex);
     std::vector<peers::PromptNews> out;
-    for (const auto &held : m_holders.recent(most, now)) {
+    for (const auto &held : m_holders.recent(limit, now)) {
         if (isListed(held.endpoint)) {
             out.push_back({held.prompt, held.endpoint.id});
         }
@@ -126,13 +125,12 @@
     return out;
 }
 
-// Those of the endpoints that took a prompt that still are what they were
-// then, the last one first.
+// The endpoints that received a prompt and have neither restarted nor become unusable since, the latest first.
 std::vector<Endpoint> RoutingTable::likelyHolders(uint64_t prompt, Clock::time_point now, const Constraints &constraints) const
 {
     auto found = m_holders.find(prompt, now);
     std::erase_if(found, [&](const Endpoint &e) {
-        return !isListed(e) || m_refusals.refuses(e, now) || suspected(e.id, now) || isEvacuated(e) || !constraints.regions.allows(e.region);
+        return !isListed(e) || m_refusals.refuses(e, now) || isSuspected(e.id, now) || isEvacuated(e) || !constraints.regions.allows(e.region);
     });
     return found;
 }
@@ -150,15 +148,15 @@
     if (!holders.empty()) {
         return {false, holders.front()};
     }
-    // Nothing is known of the prompt: its home has likely read it. Where the
-    // taker is the home because it has just joined, the home before did.
+    // No endpoint is known to have received the prompt, so its home likely holds it. If the taker is the home only
+    // because it joined recently, the previous home does.
     const auto *home = firstInOrder(taker.pool, prompt, "", now, constraints);
     const auto health = m_health.find(taker.id);
-    const bool joinedLately = health != m_health.end() && now - health->second.joinedAt <= newlyJoined;
+    const bool joinedRecently = health != m_health.end() && now - health->second.joinedAt <= recentJoinPeriod;
     if (home && home->id == taker.id) {
-        home = joinedLately ? firstInOrder(taker.pool, prompt, taker.id, now, constraints) : nullptr;
+        home = joinedRecently ? firstInOrder(taker.pool, prompt, taker.id, now, constraints) : nullptr;
     }
-    return {false, home && !suspected(home->id, now) ? std::optional(*home) : std::nullopt};
+    return {false, home && !isSuspected(home->id, now) ? std::optional(*home) : std::nullopt};
 }
 
 } // namespace yucca::router
--- a/src/router_traffic.cpp
+++ b/src/router_traffic.cpp
@@ -10,24 +10,24 @@
 namespace
 {
 
-constexpr Millis recordsCheck{200}; ///< whether the store has returned from an older copy; costs no call
-constexpr Millis connectTimeout{1000}; ///< endpoints may be in another region: a SYN may be lost once
-constexpr std::size_t mostKept = 32; ///< connections kept to an endpoint; nobody states a cap here
+constexpr Millis recordsCheckInterval{200}; ///< between two checks for a store that returned from an older copy; a check makes no call
+constexpr Millis connectTimeout{1000}; ///< allows for one lost SYN to an endpoint in another region
+constexpr std::size_t maxIdleConnections = 32; ///< idle connections kept per endpoint; no limit is specified here
 
 entry::GatewayOptions optionsOf(const settings::RouterSettings &settings)
 {
     entry::GatewayOptions options;
     options.retries.ratio = settings.retryRatio;
     options.retries.reserve = static_cast<double>(settings.retryReserve);
-    options.outOfDateAfter = Millis(0); // its watches wait longer than callers; the catalogue changes by hand
+    options.outOfDateAfter = Millis(0); // no age limit: a watch waits longer than callers do, and the catalogue is changed by hand
     options.connectTimeout = connectTimeout;
-    options.gapPatience = 1.0; // the setting is the whole pause
-    options.mostKept = mostKept;
+    options.gapPatience = 1.0; // the setting is the full pause
+    options.mostKept = maxIdleConnections;
     options.newConnectionForSingleRuns = true;
     return options;
 }
 
-json readiness(bool ready)
+json readinessBody(bool ready)
 {
     return {{"ready", ready}};
 }
@@ -47,14 +47,14 @@
 {
 }
 
-// The gateway of the traffic thread that runs a loop, made at its first request.
+// The gateway of the traffic thread that runs the executor's loop, created at its first request.
 Router::Gateway &Router::gatewayOf(const asio::any_io_executor &ex)
 {
     auto *loop = &asio::query(ex, asio::execution::context);
     std::lock_guard lock(m_mutex);
     auto &gateway = m_gateways[loop];
     if (!gateway) {
-        // Ids that the router gives must differ between its threads.
+        // The ids that the router assigns must differ between its threads.
         const std::string id = m_gateways.size() == 1 ? m_settings.id : m_settings.id + "." + std::to_string(m_gateways.size());
         const entry::GatewayParts parts{m_control.published(), m_table, m_admission, m_quarantine, &m_guard};
         gateway = std::make_unique<Gateway>(parts, optionsOf(m_settings), OwnDialect(id, m_settings.retryAfterS));
@@ -67,7 +67,7 @@
     while (!m_stopping) {
         m_guard.noteEpoch(control.epoch(), Clock::now());
         co_await m_guard.restoreLost();
-        co_await sleepFor(recordsCheck);
+        co_await sleepFor(recordsCheckInterval);
     }
 }
 
@@ -82,7 +82,7 @@
         co_await ex.reply(200, R"({"ok":true})");
     } else if (path == "/readyz") {
         const bool ready = m_control.ready() && !m_stopping;
-        co_await ex.reply(ready ? 200 : 503, readiness(ready).dump());
+        co_await ex.reply(ready ? 200 : 503, readinessBody(ready).dump());
     } else if (path == "/status") {
         co_await ex.reply(200, status().dump(2));
     } else {
--- a/src/router_traffic.h
+++ b/src/router_traffic.h
@@ -1,5 +1,4 @@
-// The own interface's callers' side: the request pipeline behind its paths,
-// readiness and the status page.
+// The caller side of the native interface: the request pipeline behind its paths, readiness and the status page.
 #pragma once
 
 #include "admission.h"
@@ -26,17 +25,17 @@
 class Router
 {
 public:
-    /// controlBytes and recordBytes count what the object API clients
-    /// moved, for the status page; either may be null.
+    /// controlBytes and recordBytes count the traffic of the object API clients for the status page. Either may be
+    /// null.
     Router(const settings::RouterSettings &settings, platform::ObjectApi &records, const http::ByteCounter *controlBytes, const http::ByteCounter *recordBytes,
            RoutingTable &table, const Control &control, quarantine::RequestQuarantine &quarantine);
 
     /// Answers one request.
     Task<void> handle(http::Exchange &ex);
-    /// Writes the records of callers' requests again that the store lost, where
-    /// the control side has seen it return from an older copy; until stopped.
+    /// Restores the records of callers' requests that the store lost when it returned from an older copy, as detected
+    /// by the control side. Runs until beginStop().
     Task<void> keepRecords(const platform::ObjectApi &control);
-    /// A planned stop has begun: /readyz says no from now on.
+    /// Starts a planned stop: /readyz reports not ready from now on.
     void beginStop()
     {
         m_stopping = true;
@@ -48,15 +47,15 @@
     nlohmann::json status();
 
     settings::RouterSettings m_settings;
-    const http::ByteCounter *m_controlBytes; ///< catalogue and VM list
-    const http::ByteCounter *m_recordBytes; ///< idempotency records
+    const http::ByteCounter *m_controlBytes; ///< traffic of the catalogue and the VM list
+    const http::ByteCounter *m_recordBytes; ///< traffic of idempotency records
     RoutingTable &m_table;
     const Control &m_control;
     quarantine::RequestQuarantine &m_quarantine;
     idempotency::Guard m_guard;
     limits::Admission m_admission;
     std::mutex m_mutex;
-    std::map<asio::execution_context *, std::unique_ptr<Gateway>> m_gateways; ///< one for each traffic thread's loop
+    std::map<asio::execution_context *, std::unique_ptr<Gateway>> m_gateways; ///< one per event loop of a traffic thread
     std::atomic<bool> m_stopping{false};
     Clock::time_point m_started;
 };
--- a/src/task.h
+++ b/src/task.h
@@ -1,5 +1,4 @@
-// Coroutine tasks on Boost.Asio: the task type every asynchronous function
-// returns, sleeping, and running a task to its end from blocking code.
+// Coroutine tasks on Boost.Asio: the task type, sleeping, and running a task to completion from blocking code.
 #pragma once
 
 #include <utility>
@@ -25,10 +24,10 @@
 using Clock = std::chrono::steady_clock;
 using Millis = std::chrono::milliseconds;
 
-/// A coroutine that yields a T when awaited; it runs on its awaiter's executor.
+/// A coroutine that yields a T when awaited. It runs on the executor of its awaiter.
 template <typename T> using Task = asio::awaitable<T>;
 
-/// Suspends the calling task for a while.
+/// Suspends the calling task for the given duration.
 inline Task<void> sleepFor(Clock::duration d)
 {
     asio::steady_timer timer(co_await asio::this_coro::executor, d);
@@ -36,17 +35,16 @@
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
 }
 
-/// The event loop of a thread that runs blocking code. It lives as long as
-/// the thread, so that connections kept from one runBlocking() to the next
-/// keep their loop.
+/// The event loop of a thread that runs blocking code. It lives as long as the thread, so that connections kept between
+/// calls of runBlocking() keep their loop.
 inline asio::io_context &blockingLoop()
 {
     static thread_local asio::io_context loop(1);
     return loop;
 }
 
-/// Runs a task to its end and returns its value: for command line tools,
-/// program starts and stops, and tests. Not from within a task.
+/// Runs a task to completion and returns its value, or rethrows its exception. For command line tools, program start
+/// and stop, and tests. Must not be called from within a task.
 template <typename T> T runBlocking(Task<T> task)
 {
     auto &loop = blockingLoop();
@@ -64,7 +62,7 @@
     return std::move(value.value());
 }
 
-/// The same for a task without a value.
+/// Runs a task without a value to completion.
 inline void runBlocking(Task<void> task)
 {
     auto valued = [](Task<void> t) -> Task<bool> {
--- a/src/text.h
+++ b/src/text.h
@@ -1,4 +1,4 @@
-// Reading numbers and lists out of headers, queries and options.
+// Parsing and formatting of numbers and lists in headers, queries and options.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 namespace yucca::text
 {
 
-/// The decimal number that the whole of a text is, or nothing.
+/// Parses the whole text as a decimal number. Returns nothing if it is not one.
 template <typename T = int64_t> std::optional<T> number(std::string_view text)
 {
     T value = 0;
@@ -21,7 +21,8 @@
     return parsed.ec == std::errc() && parsed.ptr == end ? std::optional(value) : std::nullopt;
 }
 
-/// A number as hexadecimal text: not every reader of JSON keeps 64 bits of one.
+/// Formats a number in hexadecimal. JSON fields hold such text because some JSON parsers lose precision in 64-bit
+/// numbers.
 inline std::string hex(uint64_t value)
 {
     char digits[16];
@@ -29,7 +30,7 @@
     return {digits, written.ptr};
 }
 
-/// The number that the whole of a hexadecimal text is, or nothing.
+/// Parses the whole text as a hexadecimal number. Returns nothing if it is not one.
 inline std::optional<uint64_t> fromHex(std::string_view text)
 {
     uint64_t value = 0;
@@ -38,7 +39,7 @@
     return parsed.ec == std::errc() && parsed.ptr == end ? std::optional(value) : std::nullopt;
 }
 
-/// The items of a comma-separated list, empty ones left out.
+/// Splits a comma-separated list and omits empty items.
 inline std::vector<std::string> items(std::string_view list)
 {
     std::vector<std::string> out;
--- a/tests/loop_group.h
+++ b/tests/loop_group.h
@@ -1,19 +1,18 @@
-// The test groups that run an event loop. Included last: CppUTest's
-// memory-leak macros redefine operator new.
+// Test groups that run an event loop. Must be included last, because CppUTest's memory leak macros redefine operator
+// new.
 #pragma once
 
 #include "rig.h"
 
 #include <CppUTest/TestHarness.h>
-// The plugin's header needs TestHarness.h first; the blank line keeps the order.
+// MemoryLeakWarningPlugin.h requires TestHarness.h first; the blank line prevents reordering.
 
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
 #include <memory>
 
-// Asio caches coroutine frames per thread, which CppUTest's per-test leak
-// count takes for leaks: it is off in the groups that run an event loop,
-// from before the loop is made until after it is gone.
+// Asio caches coroutine frames per thread, which CppUTest's leak detection reports as leaks. Detection is disabled in
+// these groups from before the loop's creation until after its destruction.
 #define LOOP_GROUP(name)                                                                                                                                       \
     TEST_GROUP(name)                                                                                                                                           \
     {                                                                                                                                                          \
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -1,6 +1,5 @@
-// Helpers of the tests that run servers and clients: everything on one
-// event loop in one thread, so that a test is deterministic and waits on
-// events only.
+// Helpers for tests that run servers and clients. Everything runs on one event loop in one thread and waits only for
+// events, so the tests are deterministic.
 #pragma once
 
 #include "http_client.h"
@@ -19,15 +18,15 @@
 namespace yucca::rig
 {
 
-/// For rigs, whose headers come before CppUTest's: a test whose rig cannot be set up fails.
+/// Fails the test if the condition is false. For rigs, whose headers come before CppUTest's.
 inline void require(bool done)
 {
     if (!done) {
-        throw std::runtime_error("the rig could not be set up");
+        throw std::runtime_error("the test rig could not be set up");
     }
 }
 
-/// Something that happens once and is waited for.
+/// A one-time event that tasks can wait for.
 class Signal
 {
 public:
@@ -52,8 +51,7 @@
     Notifier m_notifier;
 };
 
-/// An event loop that runs one task to its end at a time, and all that
-/// was started beside it meanwhile.
+/// An event loop that runs one task to completion together with the tasks that were started before.
 class Loop
 {
 public:
@@ -65,24 +63,24 @@
             failure = e;
             value = std::move(v);
         });
-        io.restart(); // an earlier task may have left nothing to wait for
+        io.restart(); // a previous task may have left the loop stopped
         while (!value && io.run_one() > 0) { }
         if (failure) {
             std::rethrow_exception(failure);
         }
         if (!value) {
-            throw std::runtime_error("the task waits for something that nobody will do");
+            throw std::runtime_error("the event loop ran out of work before the task completed");
         }
         return std::move(*value);
     }
-    /// Starts a task beside the others; its value goes to out.
+    /// Starts a task in the background and stores its value in out.
     template <typename T> void start(Task<T> task, std::optional<T> &out)
     {
         asio::co_spawn(io, std::move(task), [&out](std::exception_ptr, T v) {
             out = std::move(v);
         });
     }
-    /// Runs the loop until something is true.
+    /// Runs the loop until the condition is true.
     void until(const std::function<bool()> &done)
     {
         io.restart();
@@ -91,7 +89,7 @@
     asio::io_context io;
 };
 
-/// An endpoint fake on an ephemeral port: every request goes to the handler.
+/// A fake endpoint on an ephemeral port that passes each request to the handler.
 struct FakeEndpoint {
     FakeEndpoint(Loop &loop, http::Handler handler)
         : server({&loop.io}, "127.0.0.1", 0, std::move(handler))
@@ -113,14 +111,14 @@
     return e;
 }
 
-/// The headers an engine's answer bears for a request.
+/// The headers that an engine's answer carries for a request.
 inline http::Headers echo(const http::Exchange &ex)
 {
     return {{"x-request-id", ex.header("x-request-id")}};
 }
 
-/// One router wired to the in-process object API and a set of endpoints:
-/// workspace "ws" has engines (pool "p"), "sched" a plain service (pool "s").
+/// One router connected to the in-process object API and a set of endpoints. Workspace "ws" uses engines (pool "p");
+/// workspace "sched" uses a plain service (pool "s").
 struct RouterRig {
     RouterRig(Loop &l, const std::vector<Endpoint> &endpoints, settings::RouterSettings given = {})
         : loop(l)
@@ -137,7 +135,7 @@
         port = std::get<uint16_t>(server.start());
     }
 
-    /// Sends one request to the router and reads its whole answer.
+    /// Sends one request to the router and reads the complete answer.
     Task<http::CallResult<http::Reply>> post(std::string path, std::string workspace, std::string body, http::Headers extra = {})
     {
         extra.emplace_back("x-workspace", workspace);
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -1,4 +1,4 @@
-// Limits, the supervisor, the duties' decisions: all with the time passed in.
+// Tests of the traffic limits, the supervisor and the decisions of the duties, with the time passed in.
 #include "admission.h"
 #include "duties.h"
 #include "supervisor.h"
@@ -25,7 +25,7 @@
     }
 };
 
-TEST(Limits, RequestsInFlightAreBounded)
+TEST(Limits, RequestAboveInflightLimitIsRejectedUntilOneFinishes)
 {
     CHECK(admit() == limits::Verdict::Admitted);
     CHECK(admit() == limits::Verdict::Admitted);
@@ -34,7 +34,7 @@
     CHECK(admit() == limits::Verdict::Admitted);
 }
 
-TEST(Limits, RequestsASecondAreBoundedAndTheWaitIsTold)
+TEST(Limits, RequestAboveRateIsRejectedWithTimeUntilNextToken)
 {
     for (int i = 0; i < 4; ++i) {
         CHECK(admit() == limits::Verdict::Admitted);
@@ -46,7 +46,7 @@
     CHECK(admit() == limits::Verdict::Admitted);
 }
 
-TEST(Limits, AChangedLimitIsInForceFromTheNextRequest)
+TEST(Limits, ChangedRateAppliesToNextRequest)
 {
     limits.requestsPerS = 1;
     CHECK(admit() == limits::Verdict::Admitted);
@@ -57,7 +57,7 @@
     CHECK(admit() == limits::Verdict::Admitted);
 }
 
-TEST(Limits, RetriesAreAShareOfTheRequests)
+TEST(Limits, RetriesAreLimitedToShareOfRequestsPlusReserve)
 {
     limits::RetryBudget budget({0.2, 2, Millis(10000)});
     const Clock::time_point now{std::chrono::hours(1)};
@@ -66,14 +66,14 @@
         budget.earn(now);
         retries += budget.spend(now) ? 1 : 0;
     }
-    CHECK(retries >= 20 && retries <= 22); // a fifth, and the reserve
+    CHECK(retries >= 20 && retries <= 22); // one fifth plus the reserve
 }
 
-TEST(Limits, WhatACalmRouterDidNotRetryIsThereWhenAnEndpointFails)
+TEST(Limits, RetriesUnusedInWindowAreAvailableWhenEndpointFails)
 {
     limits::RetryBudget budget({0.2, 2, Millis(10000)});
     Clock::time_point now{std::chrono::hours(1)};
-    for (int i = 0; i < 90; ++i) { // ten a second, for nine seconds
+    for (int i = 0; i < 90; ++i) { // 10 requests per second for 9 seconds
         budget.earn(now);
         now += Millis(100);
     }
@@ -83,18 +83,18 @@
     }
     LONGS_EQUAL(20, atOnce); // 0.2 x 90 + 2
     now += Millis(9000);
-    CHECK(!budget.spend(now)); // those still count, and nothing was asked since
+    CHECK(!budget.spend(now)); // the earlier retries still count, and there were no requests since
     now += Millis(2000);
     CHECK(budget.spend(now));
     CHECK(budget.spend(now));
     CHECK(!budget.spend(now));
 }
 
-TEST(Limits, NoWindowHasMoreRetriesThanItsShareOrThatOfTheOneBefore)
+TEST(Limits, RetriesInAnyWindowStayWithinShareOfAnOverlappingWindow)
 {
     limits::RetryBudget budget({0.2, 2, Millis(10000)});
     const Clock::time_point start{std::chrono::hours(1)};
-    std::vector<int> requestsAt(600); // in parts of 100 ms
+    std::vector<int> requestsAt(600); // in slices of 100 ms
     std::vector<int> retriesAt(600);
     std::minstd_rand random(7);
     for (std::size_t i = 0; i < requestsAt.size(); ++i) {
@@ -114,11 +114,11 @@
     };
     for (std::size_t at = 100; at + 100 <= requestsAt.size(); ++at) {
         const int most = std::max({sum(requestsAt, at), sum(requestsAt, at - 50), sum(requestsAt, at - 100)});
-        CHECK(sum(retriesAt, at) <= 0.2 * most + 2 + 4); // 4: the rule looks at three windows, the budget at the one that ends now
+        CHECK(sum(retriesAt, at) <= 0.2 * most + 2 + 4); // 4: the check compares three windows, the budget only the one that ends now
     }
 }
 
-TEST(Limits, OtherLimitsKeepWhatWasCounted)
+TEST(Limits, CountsAreKeptWhenLimitsChange)
 {
     limits::RetryBudget budget({0.2, 2, Millis(10000)});
     const Clock::time_point now{std::chrono::hours(1)};
@@ -131,7 +131,7 @@
 
 TEST_GROUP(Supervision){};
 
-TEST(Supervision, AChildThatFailsIsStartedAgainAndOneThatReturnsIsNot)
+TEST(Supervision, FailedChildIsRestartedAndReturnedChildIsNot)
 {
     asio::io_context loop;
     int runs = 0;
@@ -154,7 +154,7 @@
     LONGS_EQUAL(0, supervisor.running());
 }
 
-TEST(Supervision, ChildrenAreStoppedInReverseOrder)
+TEST(Supervision, ChildrenStopInReverseStartOrder)
 {
     asio::io_context loop;
     std::string order;
@@ -175,16 +175,16 @@
 
 TEST_GROUP(Duties){};
 
-TEST(Duties, RecordsAreRemovedAfterTheirRetentionUnlessTheyNeverEnded)
+TEST(Duties, CompletedRecordExpiresAfterRetentionAndStartedRecordNever)
 {
     nlohmann::json done{{"state", "done"}, {"at", 1000}};
     CHECK_FALSE(duties::expired(done, 1100, 100));
     CHECK(duties::expired(done, 1101, 100));
     nlohmann::json started{{"state", "started"}, {"at", 1000}};
-    CHECK_FALSE(duties::expired(started, 99999, 100)); // its outcome is unknown: it guards the key
+    CHECK_FALSE(duties::expired(started, 99999, 100)); // its outcome is unknown, so the record must keep guarding the key
 }
 
-TEST(Duties, EveryLiveEngineOfAPoolIsOrderedToItsClassesModel)
+TEST(Duties, LiveEngineIsOrderedToLoadModelOfItsClass)
 {
     catalogue::Snapshot s;
     catalogue::WorkClass c;
--- a/tests/test_constraints.cpp
+++ b/tests/test_constraints.cpp
@@ -1,10 +1,10 @@
-// What may take a request besides load: evacuated failure domains, allowed
-// regions, and the limit on requests to cold endpoints over all routers.
+// Tests of the constraints on placement besides load: evacuated failure domains, allowed regions, and the limit on
+// requests to cold endpoints over all routers.
 #include "codec.h"
 #include "cold_limit.h"
 #include "entry_rig.h"
 
-// CppUTest goes last: its memory-leak macros redefine operator new.
+// CppUTest goes last: its memory leak macros redefine operator new.
 #include "loop_group.h"
 
 #include <algorithm>
@@ -18,10 +18,10 @@
 namespace
 {
 
-/// What the users' endpoints bear: 8.9 requests a second for 3 s, never over 18.35.
+/// A cold endpoint sustains 8.9 requests per second for 3 s and must never get more than 18.35 in a second.
 const ColdAllowance allowance{Millis(3000), 8.9, 18.35};
 
-std::vector<std::string> named(const std::string &kind, std::size_t count)
+std::vector<std::string> numberedNames(const std::string &kind, std::size_t count)
 {
     std::vector<std::string> names;
     for (std::size_t n = 0; n < count; ++n) {
@@ -30,7 +30,7 @@
     return names;
 }
 
-/// A router's limiter that knows these routers as its fleet.
+/// The limiter of a router that sees the given fleet.
 ColdLimiter limiterOf(const std::string &self, std::vector<std::string> fleet, const ColdAllowance &bears = allowance)
 {
     std::erase(fleet, self);
@@ -40,12 +40,12 @@
     return limiter;
 }
 
-// Sends as many requests as the limiter allows at a moment.
-std::size_t sendAll(ColdLimiter &limiter, const std::string &endpoint, Clock::time_point now)
+// Sends as many requests as the limiter allows at the given time.
+std::size_t sendAllAllowed(ColdLimiter &limiter, const std::string &endpoint, Clock::time_point now)
 {
     std::size_t sent = 0;
     while (limiter.available("m", endpoint, now) > 0) {
-        limiter.sent("m", endpoint, now);
+        limiter.recordSend("m", endpoint, now);
         ++sent;
     }
     return sent;
@@ -58,16 +58,16 @@
     Clock::time_point now{std::chrono::hours(1)};
 };
 
-TEST(ColdLimiter, AllRoutersTogetherStayWithinWhatAnEndpointBears)
+TEST(ColdLimiter, RequestsOfAllRoutersStayWithinSustainedRate)
 {
     for (const std::size_t size : {1, 2, 5, 9, 68, 330}) {
-        const auto fleet = named("r", size);
-        for (const auto &endpoint : named("e", 20)) {
+        const auto fleet = numberedNames("r", size);
+        for (const auto &endpoint : numberedNames("e", 20)) {
             std::size_t inOneSecond = 0;
             for (const auto &self : fleet) {
                 auto limiter = limiterOf(self, fleet);
                 for (Millis at(0); at < Millis(1000); at += Millis(50)) {
-                    inOneSecond += sendAll(limiter, endpoint, now + at);
+                    inOneSecond += sendAllAllowed(limiter, endpoint, now + at);
                 }
             }
             CHECK(inOneSecond >= 1 && static_cast<double>(inOneSecond) <= allowance.perSecond);
@@ -75,31 +75,31 @@
     }
 }
 
-// Each router lacks another third of the fleet.
-TEST(ColdLimiter, AlsoWhereEachRouterLacksAThirdOfTheFleet)
+// Each router misses a different third of the fleet.
+TEST(ColdLimiter, RequestsStayWithinHardLimitWhenEachRouterMissesAThirdOfTheFleet)
 {
-    const auto fleet = named("r", 68);
+    const auto fleet = numberedNames("r", 68);
     for (uint32_t seed = 1; seed <= 5; ++seed) {
         std::mt19937 random(seed);
-        for (const auto &endpoint : named("e", 60)) {
+        for (const auto &endpoint : numberedNames("e", 60)) {
             std::size_t inOneSecond = 0;
             for (const auto &self : fleet) {
                 auto known = fleet;
                 std::shuffle(known.begin(), known.end(), random);
                 known.resize(fleet.size() * 2 / 3);
                 auto limiter = limiterOf(self, known);
-                inOneSecond += sendAll(limiter, endpoint, now);
+                inOneSecond += sendAllAllowed(limiter, endpoint, now);
             }
-            CHECK(static_cast<double>(inOneSecond) <= allowance.mostPerSecond);
+            CHECK(static_cast<double>(inOneSecond) <= allowance.maxPerSecond);
         }
     }
 }
 
-// Of two halves that know nothing of each other, each knows its own whole.
-TEST(ColdLimiter, TwoHalvesOfAFleetThatDoNotKnowOfEachOtherStayWithinTheBound)
+// The fleet is partitioned into two halves, and each router sees only its own half.
+TEST(ColdLimiter, RequestsStayWithinHardLimitWhenFleetIsPartitionedInHalves)
 {
-    const auto fleet = named("r", 68);
-    for (const auto &endpoint : named("e", 60)) {
+    const auto fleet = numberedNames("r", 68);
+    for (const auto &endpoint : numberedNames("e", 60)) {
         std::size_t inOneSecond = 0;
         for (std::size_t n = 0; n < fleet.size(); ++n) {
             std::vector<std::string> half;
@@ -107,13 +107,13 @@
                 half.push_back(fleet[other]);
             }
             auto limiter = limiterOf(fleet[n], half);
-            inOneSecond += sendAll(limiter, endpoint, now);
+            inOneSecond += sendAllAllowed(limiter, endpoint, now);
         }
-        CHECK(static_cast<double>(inOneSecond) <= allowance.mostPerSecond);
+        CHECK(static_cast<double>(inOneSecond) <= allowance.maxPerSecond);
     }
 }
 
-TEST(ColdLimiter, ARouterThatDoesNotYetKnowTheFleetSendsNothing)
+TEST(ColdLimiter, RouterWithoutFleetListSendsNothing)
 {
     ColdLimiter limiter;
     limiter.setAllowances({{"m", allowance}});
@@ -122,18 +122,18 @@
     CHECK(limiter.available("m", "e1", now) > 0);
 }
 
-TEST(ColdLimiter, WhatWasSentBeforeItWasKnownThatAnEndpointIsColdCounts)
+TEST(ColdLimiter, RequestsSentBeforeEndpointIsKnownColdCount)
 {
     auto limiter = limiterOf("r", {"r"});
     const auto share = limiter.share("m", "e1");
     for (std::size_t n = 0; n < share; ++n) {
-        limiter.sent("m", "e1", now);
+        limiter.recordSend("m", "e1", now);
     }
     LONGS_EQUAL(0, limiter.available("m", "e1", now + Millis(900)));
     LONGS_EQUAL(share, limiter.available("m", "e1", now + Millis(1100)));
 }
 
-TEST(ColdLimiter, SharesFollowTheAllowanceAndTheFleet)
+TEST(ColdLimiter, ShareDependsOnAllowanceAndFleetSize)
 {
     CHECK((limits::coldShare(allowance, 68) == limits::ColdShare{8, 1}));
     CHECK((limits::coldShare(allowance, 3) == limits::ColdShare{3, 2}));
@@ -161,8 +161,8 @@
         e.region = region;
         return e;
     }
-    // Where requests for many prompts go; empty for those that go nowhere.
-    std::set<std::string> takers(const router::Constraints &constraints = {}, int requests = 200)
+    // The endpoints that receive requests for many prompts; includes "" if some request finds no endpoint.
+    std::set<std::string> receivingEndpoints(const router::Constraints &constraints = {}, int requests = 200)
     {
         std::set<std::string> out;
         for (int prompt = 0; prompt < requests; ++prompt) {
@@ -176,34 +176,34 @@
     }
 };
 
-TEST(Constraints, AnEvacuatedDomainGetsNothingWhateverHoldsAPrompt)
+TEST(Constraints, EvacuatedDomainGetsNoRequestsEvenIfItHoldsThePrompt)
 {
     table.setEndpoints({at("a", "north"), at("b", "south"), at("c", "south")});
     for (uint64_t prompt = 0; prompt < 50; ++prompt) {
         table.tookPrompt(prompt, at("a", "north"), now);
     }
     table.setEvacuated({"north"}, now);
-    CHECK((takers() == std::set<std::string>{"b", "c"}));
+    CHECK((receivingEndpoints() == std::set<std::string>{"b", "c"}));
     table.setEndpoints({at("a", "north"), at("b", "south"), at("c", "south"), at("d", "north")});
-    CHECK((takers() == std::set<std::string>{"b", "c"})); // nor do those that join later
+    CHECK((receivingEndpoints() == std::set<std::string>{"b", "c"})); // endpoints that join later get nothing either
     for (uint64_t prompt = 0; prompt < 50; ++prompt) {
         const auto belief = table.beliefOf(prompt, at("b", "south"), now);
-        CHECK(!belief.source || belief.source->zone == "south"); // nothing is fetched from it
+        CHECK(!belief.source || belief.source->zone == "south"); // no prompt is fetched from the domain
     }
-    CHECK(!table.acquireAgain(at("a", "north"), now)); // nor sent once more
+    CHECK(!table.acquireAgain(at("a", "north"), now)); // no request is sent again either
 }
 
-TEST(Constraints, WhereAllIsEvacuatedTheReasonIsTold)
+TEST(Constraints, EvacuationOfAllDomainsIsReportedAsObstacle)
 {
     table.setEndpoints({at("a", "north"), at("b", "south")});
     table.setEvacuated({"north", "south", "nowhere"}, now);
-    CHECK((takers() == std::set<std::string>{""}));
+    CHECK((receivingEndpoints() == std::set<std::string>{""}));
     CHECK(table.obstacle("m", {}, now) == router::Obstacle::Evacuated);
     table.setEvacuated({"north"}, now);
-    CHECK((takers() == std::set<std::string>{"b"}));
+    CHECK((receivingEndpoints() == std::set<std::string>{"b"}));
 }
 
-TEST(Constraints, ADomainThatReturnsIsTakenForCold)
+TEST(Constraints, EndpointsOfReturnedDomainAreCold)
 {
     table.setColdAllowances({{"m", allowance}});
     table.setRouters("r", {});
@@ -215,7 +215,7 @@
     LONGS_EQUAL(0, table.coldCount(now + allowance.coldFor));
 }
 
-TEST(Constraints, AColdEndpointGetsItsShareAndTheOthersTheRest)
+TEST(Constraints, ColdEndpointGetsItsShareAndWarmEndpointTheRest)
 {
     table.setColdAllowances({{"m", allowance}});
     table.setRouters("r", {});
@@ -229,39 +229,38 @@
     }
     CHECK(taken["a"] > 0 && taken["a"] <= allowance.perSecond);
     LONGS_EQUAL(200, taken["a"] + taken["b"]);
-    CHECK((takers() == std::set<std::string>{"b"}));
+    CHECK((receivingEndpoints() == std::set<std::string>{"b"}));
     now += Millis(2000);
-    CHECK((takers() == std::set<std::string>{"a", "b"}));
+    CHECK((receivingEndpoints() == std::set<std::string>{"a", "b"}));
 }
 
-// A service that states no limit bears its usual load also while its endpoints
-// say that they are cold.
-TEST(Constraints, ColdEndpointsOfAServiceWithoutALimitAreNotHeldBack)
+// A service without a limit sends its cold endpoints the usual load.
+TEST(Constraints, ColdEndpointsWithoutAllowanceAreNotLimited)
 {
     table.setEndpoints({at("a", "north"), at("b", "south")});
     table.noteCold("a", now + Millis(2000));
     table.noteCold("b", now + Millis(2000));
-    CHECK((takers() == std::set<std::string>{"a", "b"}));
+    CHECK((receivingEndpoints() == std::set<std::string>{"a", "b"}));
     CHECK(table.acquireAgain(at("a", "north"), now));
     LONGS_EQUAL(0, table.coldCount(now));
 }
 
-TEST(Constraints, WhereAllAreColdLessUrgentRequestsAreRefusedFirst)
+TEST(Constraints, LessUrgentRequestsAreRejectedFirstWhenAllEndpointsAreCold)
 {
     table.setColdAllowances({{"m", allowance}});
     table.setRouters("r", {});
     table.setEndpoints({at("a", "north"), at("b", "south")});
     table.noteCold("a", now + Millis(2000));
     table.noteCold("b", now + Millis(2000));
-    router::Constraints lowly;
-    lowly.priority = 2;
-    CHECK(takers(lowly).count(""));
+    router::Constraints lessUrgent;
+    lessUrgent.priority = 2;
+    CHECK(receivingEndpoints(lessUrgent).count(""));
     CHECK(table.obstacle("m", {}, now) == router::Obstacle::Cold);
-    CHECK((!takers({}, 1).count(""))); // the urgent still find a place
-    CHECK(takers().count(""));
+    CHECK((!receivingEndpoints({}, 1).count(""))); // an urgent request is still accepted
+    CHECK(receivingEndpoints().count(""));
 }
 
-TEST(Constraints, ARefusedConnectionMakesAnEndpointSuspectOfAStart)
+TEST(Constraints, EndpointIsTreatedAsColdAfterFailedConnection)
 {
     table.setColdAllowances({{"m", allowance}});
     table.setEndpoints({at("a", "north"), at("b", "south")});
@@ -269,42 +268,42 @@
     LONGS_EQUAL(1, table.coldCount(now));
 }
 
-TEST(Constraints, WhatJoinsIsColdAndWhatTheStoreLostForAWhileIsNot)
+TEST(Constraints, JoinedEndpointIsColdAndRelistedIncarnationIsNot)
 {
     table.setColdAllowances({{"m", allowance}});
     table.setEndpoints({at("a", "north"), at("b", "south")}, now);
-    table.setEndpoints({at("b", "south"), at("c", "south")}, now); // "c" says nothing of being cold
+    table.setEndpoints({at("b", "south"), at("c", "south")}, now); // "c" does not report that it is cold
     LONGS_EQUAL(1, table.coldCount(now));
     now += Millis(4000);
     table.setEndpoints({at("a", "north"), at("b", "south"), at("c", "south")}, now);
-    LONGS_EQUAL(0, table.coldCount(now)); // the same start of "a" as before
+    LONGS_EQUAL(0, table.coldCount(now)); // "a" is still the same incarnation
     auto again = at("b", "south");
     again.born = 7;
     table.setEndpoints({at("a", "north"), again, at("c", "south")}, now);
     LONGS_EQUAL(1, table.coldCount(now));
 }
 
-TEST(Constraints, RoutesAndWorkspacesBindTheRegions)
+TEST(Constraints, RegionsAreRestrictedByRouteAndWorkspace)
 {
     table.setEndpoints({at("a", "north", "one"), at("b", "south", "two"), at("c", "west", "")});
-    CHECK((takers() == std::set<std::string>{"a", "b", "c"}));
+    CHECK((receivingEndpoints() == std::set<std::string>{"a", "b", "c"}));
     router::Constraints constraints;
     constraints.regions.restrictTo({"one", "two"});
-    CHECK((takers(constraints) == std::set<std::string>{"a", "b"}));
+    CHECK((receivingEndpoints(constraints) == std::set<std::string>{"a", "b"}));
     for (uint64_t prompt = 0; prompt < 50; ++prompt) {
         table.tookPrompt(prompt, at("a", "north", "one"), now);
     }
     constraints.regions.restrictTo({"two", "three"});
-    CHECK((takers(constraints) == std::set<std::string>{"b"}));
-    CHECK(!table.beliefOf(1, at("b", "south", "two"), now, constraints).source); // nor is anything fetched from elsewhere
+    CHECK((receivingEndpoints(constraints) == std::set<std::string>{"b"}));
+    CHECK(!table.beliefOf(1, at("b", "south", "two"), now, constraints).source); // nothing is fetched from other regions either
     constraints.regions.restrictTo({"three"});
-    CHECK((takers(constraints) == std::set<std::string>{""}));
+    CHECK((receivingEndpoints(constraints) == std::set<std::string>{""}));
     CHECK(table.obstacle("m", {}, now, constraints) == router::Obstacle::Region);
 }
 
-TEST_GROUP(ConstraintsOnThePlatform){};
+TEST_GROUP(ConstraintConfiguration){};
 
-TEST(ConstraintsOnThePlatform, TheConfigurationSaysWhatColdEndpointsBearAndWhichRegionsAreAllowed)
+TEST(ConstraintConfiguration, ColdLimitsAndAllowedRegionsAreRead)
 {
     auto written = entryConfiguration();
     written["services"][1]["cold_start_s"] = 3.0;
--- a/tests/test_home.cpp
+++ b/tests/test_home.cpp
@@ -1,5 +1,4 @@
-// The decisions of an entry router that need no network: prompt homes, least
-// load, who holds a prompt, what may be tried again.
+// Tests of router decisions that need no network: prompt homes, least load, prompt holders, and retries.
 #include "entry/come_back.h"
 #include "entry/retry_policy.h"
 #include "prompt_holders.h"
@@ -36,7 +35,7 @@
     TimePoint now{std::chrono::hours(1)};
 };
 
-TEST(PromptHome, EveryRouterPicksTheSameHomeAndItOutlastsOtherMembers)
+TEST(PromptHome, RoutersPickTheSameHomeAndMemberChangeMovesOnlyFewPrompts)
 {
     placement::PromptHome a;
     placement::PromptHome b;
@@ -49,10 +48,10 @@
         CHECK(atA == atB || atA == "e17");
         moved += atA != atB ? 1 : 0;
     }
-    CHECK(moved > 0 && moved < 30); // about one in eighteen
+    CHECK(moved > 0 && moved < 30); // about 1 in 18
 }
 
-TEST(PromptHome, OfTwoMembersThatHoldAPromptTheLessLoadedIsPicked)
+TEST(PromptHome, LessLoadedOfTwoHoldersIsPicked)
 {
     placement::PromptHome policy;
     policy.setMembers(names(10));
@@ -71,20 +70,20 @@
         policy.reported(other, 7, now);
         LONGS_EQUAL(home, *policy.pick(wanted, usable, now));
         wanted.holders = {policy.members()[home]};
-        LONGS_EQUAL(home, *policy.pick(wanted, usable, now)); // one that does not hold it has to read it
+        LONGS_EQUAL(home, *policy.pick(wanted, usable, now)); // another member would have to process the prompt
     }
 }
 
-// Ten of thirty endpoints get nothing by order: the bound is that of the
-// service's mean, which counts them, and not so low that all are at it.
-TEST(PromptHome, EndpointsThatIdleByOrderCountInTheMean)
+// 10 of 30 endpoints are kept idle on purpose. The bound must follow the mean over all 30, and the busy members must not all
+// count as overloaded.
+TEST(PromptHome, IdleEndpointsCountInServiceMean)
 {
     placement::PromptHome policy;
     policy.setMembers(names(20));
-    policy.setIdle(10);
+    policy.setIdleCount(10);
     const placement::Usable usable(20, true);
     for (std::size_t m = 0; m < 20; ++m) {
-        policy.reported(m, m == 0 ? 25 : 15, now); // the service's mean is about 10, its bound 17
+        policy.reported(m, m == 0 ? 25 : 15, now); // the service's mean is about 10, so the bound is about 17
     }
     auto wanted = prompt(1);
     wanted.holders = {policy.members()[0]};
@@ -93,7 +92,7 @@
     LONGS_EQUAL(0, *policy.pick(wanted, usable, now));
 }
 
-TEST(PromptHome, AHotPromptSpillsInTheSameOrderEverywhereAndNoMemberPassesTheBound)
+TEST(PromptHome, PopularPromptSpillsAndNoMemberExceedsBound)
 {
     placement::HomeOptions options;
     placement::PromptHome policy(options);
@@ -112,10 +111,10 @@
     }
 }
 
-TEST(PromptHome, ManyRoutersWithLateReportsKeepEveryMemberUnderTwiceTheMean)
+TEST(PromptHome, LoadsStayUnderTwiceTheMeanWithManyRoutersAndDelayedReports)
 {
-    // Seven routers, each with a seventh of the traffic and reports as late
-    // as answers are, a hot prompt with a fifth of all requests.
+    // 7 routers share the traffic equally and get load reports as late as answers. One popular prompt makes up a fifth
+    // of all requests.
     constexpr int routers = 7;
     constexpr int members = 18;
     std::vector<placement::PromptHome> policies(routers);
@@ -152,7 +151,7 @@
             }
         }
         if (random() % 11 != 0) {
-            continue; // 92 requests a second
+            continue; // about 92 requests per second
         }
         const int router = static_cast<int>(random() % routers);
         const uint64_t key = random() % 5 == 0 ? 1 : 2 + random() % 270;
@@ -176,7 +175,7 @@
     TimePoint now{std::chrono::hours(1)};
 };
 
-TEST(LeastLoaded, TheLeastLoadedMemberIsPickedAndOldReportsFade)
+TEST(LeastLoaded, LeastLoadedMemberIsPickedAndOldReportsLoseWeight)
 {
     placement::LeastLoaded policy;
     policy.setMembers(names(3));
@@ -188,11 +187,11 @@
     policy.placed(1, now);
     policy.placed(1, now);
     LONGS_EQUAL(1, *policy.pick(prompt(1), usable, now));
-    now += std::chrono::seconds(30); // what the others had is long done
+    now += std::chrono::seconds(30); // the requests in the old reports have finished by now
     CHECK(*policy.pick(prompt(1), usable, now) != 1);
 }
 
-TEST(LeastLoaded, UnusableMembersAreNeverPicked)
+TEST(LeastLoaded, UnusableMemberIsNeverPicked)
 {
     placement::LeastLoaded policy;
     policy.setMembers(names(2));
@@ -211,21 +210,21 @@
     }
 };
 
-TEST(PromptHolders, TheLastEndpointIsKnownForAWhile)
+TEST(PromptHolders, LatestHolderIsFoundUntilItsLifetimeEnds)
 {
     router::PromptHolders holders(10, std::chrono::seconds(30));
-    holders.note(1, at("a"), router::HolderSource::OwnRequest, now);
-    holders.note(1, at("b"), router::HolderSource::OwnRequest, now);
+    holders.record(1, at("a"), router::HolderSource::OwnRequest, now);
+    holders.record(1, at("b"), router::HolderSource::OwnRequest, now);
     STRCMP_EQUAL("b", holders.find(1, now).front().id.c_str());
     CHECK(holders.find(2, now).empty());
     CHECK(holders.find(1, now + std::chrono::seconds(31)).empty());
 }
 
-TEST(PromptHolders, AnEndlessVarietyOfPromptsTakesBoundedMemory)
+TEST(PromptHolders, OldestPromptIsEvictedAtCapacity)
 {
     router::PromptHolders holders(100);
     for (uint64_t i = 0; i < 10000; ++i) {
-        holders.note(i, at("a"), router::HolderSource::OwnRequest, now);
+        holders.record(i, at("a"), router::HolderSource::OwnRequest, now);
     }
     LONGS_EQUAL(100, holders.size());
     CHECK(!holders.find(9999, now).empty());
@@ -237,7 +236,7 @@
     entry::Route route;
 };
 
-TEST(RetryPolicy, OnlyWhatMayRunAgainIsTriedAfterItMayHaveRun)
+TEST(RetryPolicy, OnlyRepeatableRequestIsRetriedAfterItMayHaveRun)
 {
     using entry::AttemptEnd;
     const entry::AttemptCount once{1, 1, 1};
@@ -257,7 +256,7 @@
     }
 }
 
-TEST(RetryPolicy, WhatDidNotRunMayAlwaysBeTriedAgainButNotWithoutEnd)
+TEST(RetryPolicy, UnexecutedRequestIsRetriedUpToSendLimit)
 {
     using entry::AttemptEnd;
     route.kind = entry::RequestKind::NonIdempotent;
@@ -279,14 +278,14 @@
     }
 };
 
-TEST(ComeBack, ACallerIsToldToWaitForWhatHasToChange)
+TEST(ComeBack, RetryDelayDependsOnRejectionReason)
 {
     CHECK(after(entry::Rejection::Stopping) < after(entry::Rejection::NotExecuted));
     CHECK(after(entry::Rejection::NotLoaded, Millis(100)) < Millis(500));
-    CHECK(after(entry::Rejection::NotLoaded, Millis(2000)) > Millis(1000)); // the store is away
+    CHECK(after(entry::Rejection::NotLoaded, Millis(2000)) > Millis(1000)); // the store is unavailable
 }
 
-TEST(ComeBack, ThoseTurnedAwayTogetherDoNotComeBackTogether)
+TEST(ComeBack, RetryDelaysOfSimultaneousRejectionsDiffer)
 {
     const auto first = after(entry::Rejection::NotExecuted);
     int different = 0;
--- a/tests/test_prefix.cpp
+++ b/tests/test_prefix.cpp
@@ -1,4 +1,4 @@
-// Prompt prefixes: chained block hashes and the affinity key.
+// Tests of prompt prefixes: chained block hashes and affinity keys.
 #include "prefix.h"
 
 #include <CppUTest/TestHarness.h>
@@ -18,14 +18,14 @@
     CHECK(ha[0] == hb[0] && ha[1] == hb[1]);
 }
 
-TEST(Prefix, ABlockHashDependsOnEverythingBeforeIt)
+TEST(Prefix, BlockHashDependsOnAllPrecedingTokens)
 {
     auto ha = prefix::blockHashes(prefix::tokens("x two three four a b c d"), 4);
     auto hb = prefix::blockHashes(prefix::tokens("y two three four a b c d"), 4);
     CHECK(ha[1] != hb[1]);
 }
 
-TEST(Prefix, AReturningTurnKeepsItsAffinityKey)
+TEST(Prefix, LaterTurnOfConversationHasSameAffinityKeys)
 {
     nlohmann::json turn1 =
         nlohmann::json::array({{{"role", "system"}, {"content", "be brief"}}, {{"role", "user"}, {"content", "conversation 5 asks about rent"}}});
--- a/tests/test_prompt_holders.cpp
+++ b/tests/test_prompt_holders.cpp
@@ -1,5 +1,4 @@
-// What routers know of prompts and their holders: placing by it, telling each
-// other, and the snapshot that a starting router goes on with.
+// Tests of prompt holders: placement, announcements between routers, and the snapshot that a starting router loads.
 #include "load_exchange.h"
 #include "local_object_api.h"
 #include "prompt_snapshot.h"
@@ -12,14 +11,14 @@
 namespace
 {
 
-router::TableOptions byHome()
+router::TableOptions homePolicy()
 {
     router::TableOptions options;
     options.policy = Policy::Home;
     return options;
 }
 
-Endpoint engineNamed(const std::string &id)
+Endpoint makeEngine(const std::string &id)
 {
     return endpointAt(id, 1, "m", EndpointKind::Engine);
 }
@@ -28,13 +27,13 @@
 {
     std::vector<Endpoint> out;
     for (const auto &id : ids) {
-        out.push_back(engineNamed(id));
+        out.push_back(makeEngine(id));
     }
     return out;
 }
 
-// A prompt whose home among the table's endpoints is the given one.
-uint64_t promptAt(const router::RoutingTable &table, const std::string &home)
+// A prompt whose home in the table is the given endpoint.
+uint64_t promptWithHome(const router::RoutingTable &table, const std::string &home)
 {
     uint64_t prompt = 1;
     while (table.homeOf("m", prompt)->id != home) {
@@ -43,7 +42,7 @@
     return prompt;
 }
 
-std::string placedAt(router::RoutingTable &table, uint64_t prompt, Clock::time_point now)
+std::string pickedEndpoint(router::RoutingTable &table, uint64_t prompt, Clock::time_point now)
 {
     const auto e = table.acquire("m", {prompt, prompt}, {}, now);
     table.release(*e, now);
@@ -54,59 +53,59 @@
 
 TEST_GROUP(HolderPlacement)
 {
-    router::RoutingTable table{byHome()};
+    router::RoutingTable table{homePolicy()};
     Clock::time_point now{std::chrono::hours(1)};
 };
 
-TEST(HolderPlacement, APromptStaysWhereItIsHeldWhenAnEngineJoinsThatWouldBeItsHome)
+TEST(HolderPlacement, PromptStaysAtHolderWhenItsNewHomeJoins)
 {
     table.setEndpoints(engines({"a", "b", "c", "d"}), now);
-    const uint64_t prompt = promptAt(table, "d");
+    const uint64_t prompt = promptWithHome(table, "d");
     table.setEndpoints(engines({"a", "b", "c"}), now);
-    const auto held = placedAt(table, prompt, now);
-    table.tookPrompt(prompt, engineNamed(held), now);
+    const auto held = pickedEndpoint(table, prompt, now);
+    table.tookPrompt(prompt, makeEngine(held), now);
     table.setEndpoints(engines({"a", "b", "c", "d"}), now);
-    STRCMP_EQUAL(held.c_str(), placedAt(table, prompt, now).c_str());
-    STRCMP_EQUAL("d", placedAt(table, prompt, now + std::chrono::seconds(31)).c_str()); // nobody asked for it since
+    STRCMP_EQUAL(held.c_str(), pickedEndpoint(table, prompt, now).c_str());
+    STRCMP_EQUAL("d", pickedEndpoint(table, prompt, now + std::chrono::seconds(31)).c_str()); // the holder entry has expired
 }
 
-TEST(HolderPlacement, WhileAHolderIsAtTheBoundAnotherHolderTakesIt)
+TEST(HolderPlacement, PromptGoesToOtherHolderWhenOneIsAtLoadBound)
 {
     table.setEndpoints(engines({"a", "b", "c", "d"}), now);
-    const uint64_t prompt = promptAt(table, "a");
-    table.tookPrompt(prompt, engineNamed("a"), now);
-    table.tookPrompt(prompt, engineNamed("c"), now);
+    const uint64_t prompt = promptWithHome(table, "a");
+    table.tookPrompt(prompt, makeEngine("a"), now);
+    table.tookPrompt(prompt, makeEngine("c"), now);
     table.reported("a", 30, now);
     for (const char *id : {"b", "c", "d"}) {
         table.reported(id, 2, now);
     }
-    STRCMP_EQUAL("c", placedAt(table, prompt, now).c_str());
-    CHECK(table.beliefOf(prompt, engineNamed("c"), now).held);
-    STRCMP_EQUAL("c", table.beliefOf(prompt, engineNamed("b"), now).source->id.c_str());
+    STRCMP_EQUAL("c", pickedEndpoint(table, prompt, now).c_str());
+    CHECK(table.beliefOf(prompt, makeEngine("c"), now).held);
+    STRCMP_EQUAL("c", table.beliefOf(prompt, makeEngine("b"), now).source->id.c_str());
 }
 
-TEST(HolderPlacement, AnEngineThatIsLeavingIsAskedForWhatItHolds)
+TEST(HolderPlacement, LeavingHomeIsSourceOfPrompt)
 {
     table.setEndpoints(engines({"a", "b", "c"}), now);
-    const uint64_t prompt = promptAt(table, "a"); // this router never sent it
+    const uint64_t prompt = promptWithHome(table, "a"); // this router never sent the prompt
     auto listed = engines({"a", "b", "c"});
     listed[0].state = EndpointState::Leaving;
     table.setEndpoints(listed, now);
-    const auto taker = engineNamed(placedAt(table, prompt, now));
+    const auto taker = makeEngine(pickedEndpoint(table, prompt, now));
     CHECK(taker.id != "a");
     STRCMP_EQUAL("a", table.beliefOf(prompt, taker, now).source->id.c_str());
 }
 
-TEST(HolderPlacement, WhatIsNewsIsToldOnceAndAgainAfterAWhile)
+TEST(HolderPlacement, PromptIsAnnouncedOnceAndAgainAfterInterval)
 {
     table.setEndpoints(engines({"a", "b"}), now);
-    table.tookPrompt(7, engineNamed("a"), now);
-    table.tookPrompt(7, engineNamed("a"), now + std::chrono::seconds(1));
+    table.tookPrompt(7, makeEngine("a"), now);
+    table.tookPrompt(7, makeEngine("a"), now + std::chrono::seconds(1));
     table.toldOfPrompt({8, "b"}, now);
-    table.tookPrompt(8, engineNamed("b"), now + std::chrono::seconds(1)); // a peer told everybody
+    table.tookPrompt(8, makeEngine("b"), now + std::chrono::seconds(1)); // a peer has announced it already
     table.toldOfPrompt({9, "nobody"}, now);
     CHECK((table.takePromptNews(10) == std::vector<peers::PromptNews>{{7, "a"}}));
-    table.tookPrompt(7, engineNamed("a"), now + std::chrono::seconds(11));
+    table.tookPrompt(7, makeEngine("a"), now + std::chrono::seconds(11));
     LONGS_EQUAL(1, table.takePromptNews(10).size());
     CHECK(table.takePromptNews(10).empty());
 }
@@ -116,7 +115,7 @@
     Clock::time_point now{std::chrono::hours(1)};
 };
 
-TEST(PromptDigest, PromptsComeOutAsTheyWentIn)
+TEST(PromptDigest, DecodedPromptsEqualEncodedOnes)
 {
     const std::vector<peers::PromptNews> prompts{{1, "i-1"}, {0xffffffffffffffffULL, "i-1"}, {3, "i-2"}};
     const auto decoded = std::get<peers::Digest>(peers::decode(peers::encode({{{"i-1", 4, now}}, prompts, {}}, now), now));
@@ -124,7 +123,7 @@
     LONGS_EQUAL(1, decoded.loads.size());
 }
 
-TEST(PromptDigest, AFullOneFitsOnePacket)
+TEST(PromptDigest, FullDigestFitsOnePacket)
 {
     std::vector<peers::LoadReport> reports;
     std::vector<peers::PromptNews> prompts;
@@ -134,11 +133,11 @@
         prompts.push_back({0xfffffffffffffff0ULL + i % 16, id});
     }
     const auto datagram = peers::encode({reports, prompts, {}}, now);
-    CHECK(datagram.size() < 1472); // an Ethernet frame's datagram
+    CHECK(datagram.size() < 1472); // payload limit of one Ethernet frame
     LONGS_EQUAL(peers::mostPrompts, std::get<peers::Digest>(peers::decode(datagram, now)).prompts.size());
 }
 
-TEST(PromptDigest, WhatIsMalformedIsRefused)
+TEST(PromptDigest, MalformedDigestIsRejected)
 {
     using nlohmann::json;
     for (const char *wrong : {R"([["i",[-1]]])", R"([["i",["1"]]])", R"([[1,[1]]])", R"([["i",{}]])",
@@ -149,25 +148,25 @@
 
 LOOP_GROUP(PromptsBetweenRouters);
 
-TEST(PromptsBetweenRouters, WhatOneRouterSentDecidesWhereAnotherSends)
+TEST(PromptsBetweenRouters, AnnouncedHolderIsUsedByPeer)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
     const auto now = Clock::now();
-    router::RoutingTable table(byHome());
+    router::RoutingTable table(homePolicy());
     table.setEndpoints(engines({"a", "b", "c"}), now);
-    // The other router is of another failure domain.
+    // The other router is in another failure domain.
     peers::Directory other(api, {"r2", "south", {"127.0.0.1", 2}, 0});
     CHECK(loop().run(other.refresh()));
     peers::LoadExchange exchange(api, {"r1", "north", {"127.0.0.1", 1}, 0}, table);
     CHECK(loop().run(exchange.refreshPeers(now)));
-    const uint64_t prompt = promptAt(table, "a");
+    const uint64_t prompt = promptWithHome(table, "a");
     exchange.take(peers::encode({{}, {{prompt, "c"}}, {}}, now), {"127.0.0.1", 2}, now);
-    STRCMP_EQUAL("c", placedAt(table, prompt, now).c_str());
-    CHECK(table.takePromptNews(10).empty()); // what was told is not told on
+    STRCMP_EQUAL("c", pickedEndpoint(table, prompt, now).c_str());
+    CHECK(table.takePromptNews(10).empty()); // announcements from peers are not forwarded
 }
 
-TEST(PromptsBetweenRouters, OneOfThemWritesForAll)
+TEST(PromptsBetweenRouters, OnlyFirstLiveRouterByNameWritesSnapshot)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
@@ -180,7 +179,7 @@
     }
     CHECK(first.firstByName(now));
     CHECK(!second.firstByName(now));
-    CHECK(second.firstByName(now + std::chrono::seconds(11))); // the first has been silent
+    CHECK(second.firstByName(now + std::chrono::seconds(11))); // the first router has been silent
 }
 
 LOOP_GROUP(PromptSnapshot);
@@ -205,22 +204,22 @@
     }
     store::ObjectStore store;
     platform::LocalObjectApi api{store};
-    router::RoutingTable table{byHome()};
+    router::RoutingTable table{homePolicy()};
 };
 
 } // namespace
 
-TEST(PromptSnapshot, ARouterThatStartsKnowsWhatTheFleetKnew)
+TEST(PromptSnapshot, StartingRouterLoadsHoldersFromSnapshot)
 {
     SnapshotRig before;
-    const uint64_t prompt = promptAt(before.table, "a");
-    before.table.tookPrompt(prompt, engineNamed("b"), Clock::now());
-    before.table.tookPrompt(prompt, engineNamed("c"), Clock::now());
-    before.table.tookPrompt(0xfedcba9876543210ULL, engineNamed("a"), Clock::now());
+    const uint64_t prompt = promptWithHome(before.table, "a");
+    before.table.tookPrompt(prompt, makeEngine("b"), Clock::now());
+    before.table.tookPrompt(prompt, makeEngine("c"), Clock::now());
+    before.table.tookPrompt(0xfedcba9876543210ULL, makeEngine("a"), Clock::now());
     auto written = before.snapshot();
     CHECK(loop().run(written.write()));
-    router::RoutingTable after(byHome());
-    after.setEndpoints(engines({"b", "c", "d"})); // "a" has gone
+    router::RoutingTable after(homePolicy());
+    after.setEndpoints(engines({"b", "c", "d"})); // "a" is gone
     router::PromptSnapshot read(
         before.api, after,
         [] {
@@ -230,26 +229,26 @@
             return false;
         });
     CHECK(loop().run(read.read()));
-    CHECK(after.beliefOf(prompt, engineNamed("b"), Clock::now()).held);
-    CHECK(after.beliefOf(prompt, engineNamed("c"), Clock::now()).held);
-    CHECK(!after.beliefOf(prompt, engineNamed("d"), Clock::now()).held);
+    CHECK(after.beliefOf(prompt, makeEngine("b"), Clock::now()).held);
+    CHECK(after.beliefOf(prompt, makeEngine("c"), Clock::now()).held);
+    CHECK(!after.beliefOf(prompt, makeEngine("d"), Clock::now()).held);
     CHECK(after.takePromptNews(10).empty());
     LONGS_EQUAL(2, after.knownPrompts(10, Clock::now()).size());
 }
 
-TEST(PromptSnapshot, WithoutOneThereIsNothingToWaitForAndAStoreThatIsAwayIsAskedAgain)
+TEST(PromptSnapshot, MissingSnapshotCompletesReadAndStoreOutageFailsIt)
 {
     SnapshotRig rig;
     auto snapshot = rig.snapshot();
     CHECK(loop().run(snapshot.read()));
     rig.api.outage = true;
     CHECK(!loop().run(snapshot.read()));
-    rig.table.tookPrompt(1, engineNamed("a"), Clock::now());
+    rig.table.tookPrompt(1, makeEngine("a"), Clock::now());
     CHECK(!loop().run(snapshot.write()));
     LONGS_EQUAL(0, rig.api.writes);
 }
 
-TEST(PromptSnapshot, WhatOthersLeftThereIsPassedOver)
+TEST(PromptSnapshot, MalformedEntriesAreSkipped)
 {
     using nlohmann::json;
     SnapshotRig rig;
@@ -261,5 +260,5 @@
     }
     rig.store.put(router::snapshotKind, router::snapshotName, json{{"a", {"zz", "1f"}}}, std::nullopt);
     CHECK(loop().run(snapshot.read()));
-    CHECK(rig.table.beliefOf(0x1f, engineNamed("a"), Clock::now()).held);
+    CHECK(rig.table.beliefOf(0x1f, makeEngine("a"), Clock::now()).held);
 }
--- a/tests/test_ring.cpp
+++ b/tests/test_ring.cpp
@@ -1,4 +1,4 @@
-// The skew bound and the drain rule of the routing decisions.
+// Tests of the load skew bound, and of draining and suspected endpoints in the routing table.
 #include "router_core.h"
 #include "yucca/ring.h"
 
@@ -24,10 +24,9 @@
     return ids;
 }
 
-/// Places requests from a surge: most come from three keys. Each request
-/// stays in flight for `hold` placements. Returns the worst ratio of an
-/// engine's load to the bound in force when it was placed (<= 1 holds).
-template <typename P> double worstOverBound(P &picker, int engines, double c, int requests, int hold)
+/// Places requests of which most come from three keys. Each request stays in flight for `hold` placements. Returns the
+/// worst ratio of an engine's load to the bound at placement; at most 1 if the bound holds.
+template <typename P> double worstLoadToBoundRatio(P &picker, int engines, double c, int requests, int hold)
 {
     std::mt19937_64 rng(1);
     std::vector<int64_t> loads(engines, 0);
@@ -52,7 +51,7 @@
 
 namespace
 {
-placement::Affinity keyed(const std::string &key)
+placement::Affinity affinityFor(const std::string &key)
 {
     return {ring::hash(key), ring::hash(key)};
 }
@@ -69,26 +68,26 @@
 
 TEST_GROUP(InvariantSkewBound){};
 
-TEST(InvariantSkewBound, NoEngineAboveTheBoundWhenThreeWorkspacesSurge)
+TEST(InvariantSkewBound, NoEngineExceedsBoundWhenThreeWorkspacesSurge)
 {
     ring::BoundedRing picker(64, 1.25);
     picker.setMembers(engineIds(18));
-    CHECK(worstOverBound(picker, 18, 1.25, 20000, 90) <= 1.0);
+    CHECK(worstLoadToBoundRatio(picker, 18, 1.25, 20000, 90) <= 1.0);
 }
 
-TEST(InvariantSkewBound, PlainConsistentHashingBreaksTheBoundInTheSameSurge)
+TEST(InvariantSkewBound, UnboundedConsistentHashingExceedsBoundInSameSurge)
 {
-    // The same placement without a bound (c so large it never binds) is
-    // what the bound exists to prevent: this shows the check detects it.
+    // Runs the same placement with a load factor so large that the bound never applies, to show that the check detects
+    // a violation.
     ring::BoundedRing unbounded(64, 1000.0);
     unbounded.setMembers(engineIds(18));
-    CHECK(worstOverBound(unbounded, 18, 1.25, 20000, 90) > 1.0);
+    CHECK(worstLoadToBoundRatio(unbounded, 18, 1.25, 20000, 90) > 1.0);
 }
 
-TEST(InvariantSkewBound, RoutersSeeingSlicesStayWithinTheSumOfTheirBounds)
+TEST(InvariantSkewBound, RoutersWithPartialViewsStayWithinSumOfTheirBounds)
 {
-    // Three routers, each bounding only its own in-flight requests; the
-    // balancer spreads callers over them in turn.
+    // Three routers each bound only their own in-flight requests. Requests go to the routers in turn, as from a load
+    // balancer.
     constexpr int engines = 9, routers = 3, hold = 60;
     constexpr double c = 1.25;
     std::vector<ring::BoundedRing> pickers(routers, ring::BoundedRing(64, c));
@@ -118,15 +117,15 @@
             total += sum;
             peak = std::max(peak, sum);
         }
-        // Each router's share is within ceil(c * (its total + 1) / n), so
-        // the engine's whole load is within c * mean plus one per router.
+        // Each router's share is within ceil(c * (its total + 1) / n), so the engine's total load is within c * mean
+        // plus one per router.
         double limit = c * static_cast<double>(total + routers) / engines + routers;
         worst = std::max(worst, static_cast<double>(peak) / limit);
     }
     CHECK(worst <= 1.0);
 }
 
-TEST(InvariantSkewBound, AKeyStaysOnItsEngineWhileUnderTheBound)
+TEST(InvariantSkewBound, KeyStaysOnItsEngineWhileUnderBound)
 {
     ring::BoundedRing picker(64, 1.25);
     picker.setMembers(engineIds(18));
@@ -137,7 +136,7 @@
     }
 }
 
-TEST(InvariantSkewBound, OneEngineLeavingMovesOnlyItsOwnKeys)
+TEST(InvariantSkewBound, RemovedEngineMovesOnlyItsOwnKeys)
 {
     ring::BoundedRing before(64, 1.25), after(64, 1.25);
     auto ids = engineIds(20);
@@ -157,7 +156,7 @@
 
 TEST_GROUP(InvariantDrain){};
 
-TEST(InvariantDrain, ADrainingEngineGetsNoNewWorkBeforeTheVmListKnows)
+TEST(InvariantDrain, DrainingEngineGetsNoNewRequestsWhileVmListShowsItLive)
 {
     router::RoutingTable table(options(Policy::Bounded));
     std::vector<Endpoint> eps;
@@ -165,30 +164,30 @@
         eps.push_back({"engine-" + std::to_string(i), "127.0.0.1", static_cast<uint16_t>(9000 + i), "pool", EndpointKind::Engine, EndpointState::Live});
     }
     table.setEndpoints(eps);
-    table.noteLeaving(eps[2], true, Clock::now()); // its own load report says so
-    table.setEndpoints(eps); // the lagging VM list still shows it live
+    table.noteLeaving(eps[2], true, Clock::now()); // from its own load report
+    table.setEndpoints(eps); // the delayed VM list still shows it as live
     for (int k = 0; k < 2000; ++k) {
-        auto ep = table.acquire("pool", keyed(std::to_string(k)), {}, Clock::now());
+        auto ep = table.acquire("pool", affinityFor(std::to_string(k)), {}, Clock::now());
         CHECK(ep.has_value());
         CHECK(ep->id != "engine-2");
         table.release(*ep, Clock::now());
     }
 }
 
-TEST(InvariantDrain, ALeavingEngineInTheVmListIsDropped)
+TEST(InvariantDrain, EngineListedAsLeavingGetsNoRequests)
 {
     router::RoutingTable table(options(Policy::RoundRobin));
     std::vector<Endpoint> eps{{"a", "127.0.0.1", 1, "pool", EndpointKind::Engine, EndpointState::Live},
                               {"b", "127.0.0.1", 2, "pool", EndpointKind::Engine, EndpointState::Leaving}};
     table.setEndpoints(eps);
     for (int k = 0; k < 10; ++k) {
-        auto ep = table.acquire("pool", keyed(std::to_string(k)), {}, Clock::now());
+        auto ep = table.acquire("pool", affinityFor(std::to_string(k)), {}, Clock::now());
         STRCMP_EQUAL("a", ep->id.c_str());
         table.release(*ep, Clock::now());
     }
 }
 
-TEST(InvariantDrain, ASuspectEngineIsPassedByUntilItsTimeIsUp)
+TEST(InvariantDrain, SuspectEngineIsExcludedUntilSuspicionExpires)
 {
     router::RoutingTable table(options(Policy::Bounded));
     std::vector<Endpoint> eps{{"a", "127.0.0.1", 1, "pool", EndpointKind::Engine, EndpointState::Live},
@@ -197,13 +196,13 @@
     auto now = Clock::now();
     table.suspect("a", now);
     for (int k = 0; k < 50; ++k) {
-        auto ep = table.acquire("pool", keyed(std::to_string(k)), {}, now);
+        auto ep = table.acquire("pool", affinityFor(std::to_string(k)), {}, now);
         STRCMP_EQUAL("b", ep->id.c_str());
         table.release(*ep, Clock::now());
     }
     bool sawA = false;
     for (int k = 0; k < 50; ++k) {
-        auto ep = table.acquire("pool", keyed(std::to_string(k)), {}, now + std::chrono::seconds(2));
+        auto ep = table.acquire("pool", affinityFor(std::to_string(k)), {}, now + std::chrono::seconds(2));
         sawA = sawA || ep->id == "a";
         table.release(*ep, Clock::now());
     }
@@ -212,7 +211,7 @@
 
 TEST_GROUP(AffinityThroughChurn){};
 
-TEST(AffinityThroughChurn, OneSuspectEngineMovesOnlyItsOwnKeys)
+TEST(AffinityThroughChurn, SuspectEngineMovesOnlyItsOwnKeys)
 {
     std::vector<Endpoint> eps;
     for (const auto &id : engineIds(8)) {
@@ -223,7 +222,7 @@
     auto now = Clock::now();
     int moved = 0;
     for (int k = 0; k < 400; ++k) {
-        auto key = keyed("k" + std::to_string(k));
+        auto key = affinityFor("k" + std::to_string(k));
         auto before = table.acquire("pool", key, {}, now);
         table.release(*before, Clock::now());
         table.suspect("engine-3", now);
@@ -236,19 +235,19 @@
     LONGS_EQUAL(0, moved);
 }
 
-TEST(AffinityThroughChurn, AFlappingEngineIsPassedByLongerEachTimeUntilItAnswers)
+TEST(AffinityThroughChurn, ExclusionOfFlappingEngineDoublesUntilItAnswers)
 {
     router::RoutingTable table(options(Policy::Affinity));
     table.setEndpoints({{"a", "127.0.0.1", 1, "pool", EndpointKind::Engine, EndpointState::Live}});
     auto now = Clock::now();
     const auto usable = [&] {
-        const auto ep = table.acquire("pool", keyed("k"), {}, now);
+        const auto ep = table.acquire("pool", affinityFor("k"), {}, now);
         if (ep) {
             table.release(*ep, now);
         }
         return ep.has_value();
     };
-    for (const int seconds : {1, 2, 4, 8, 8}) { // doubled up to suspectForMost
+    for (const int seconds : {1, 2, 4, 8, 8}) { // doubles up to suspectForMost
         table.suspect("a", now);
         now += std::chrono::seconds(seconds) - std::chrono::milliseconds(1);
         CHECK_FALSE(usable());
@@ -264,12 +263,11 @@
 namespace
 {
 
-/// Many routers that each see a sliver of one pool's traffic and hear of
-/// loads only in the answers they get.
-template <placement::Policy P> class SliverFleet
+/// Many routers that each send a small part of one pool's traffic and learn loads only from answers.
+template <placement::Policy P> class PartialViewFleet
 {
 public:
-    SliverFleet(const P &policy, int routers, int engines)
+    PartialViewFleet(const P &policy, int routers, int engines)
         : m_policies(routers, policy)
         , m_loads(engines, 0)
     {
@@ -278,8 +276,8 @@
         }
     }
 
-    /// Places requests, 80% of them of three surging workspaces; each stays
-    /// in flight for `hold` placements. Returns the worst busiest-over-mean.
+    /// Places requests, 80% of them from three workspaces. Each stays in flight for `hold` placements. Returns the
+    /// worst ratio of the highest load to the mean.
     double worstSkew(int requests, int hold)
     {
         std::mt19937_64 rng(3);
@@ -294,7 +292,7 @@
             const auto m = *policy.pick(affinity, placement::Usable(m_loads.size(), true), m_now);
             policy.placed(m, m_now);
             m_inflight.emplace_back(router, m);
-            policy.reported(m, m_loads[m]++, m_now); // as it was before this request
+            policy.reported(m, m_loads[m]++, m_now); // the load before this request
             if (static_cast<int>(m_inflight.size()) > hold) {
                 const auto [from, done] = m_inflight.front();
                 m_inflight.pop_front();
@@ -316,24 +314,24 @@
 
 } // namespace
 
-TEST(InvariantSkewBound, FortyRoutersWithSliversKeepASurgeWithinTwiceTheMean)
+TEST(InvariantSkewBound, FortyRoutersWithPartialViewsKeepSurgeWithinTwiceTheMean)
 {
-    SliverFleet<placement::PrefixAffinity> fleet(placement::PrefixAffinity(), 40, 60);
+    PartialViewFleet<placement::PrefixAffinity> fleet(placement::PrefixAffinity(), 40, 60);
     CHECK(fleet.worstSkew(20000, 1200) <= 2.0);
 }
 
-TEST(InvariantSkewBound, WithoutReplicaSetsTheSameSurgeBreaksTwiceTheMean)
+TEST(InvariantSkewBound, SameSurgeExceedsTwiceTheMeanWithoutReplicaSets)
 {
-    // One engine per workspace however hot, and no bound that binds.
+    // One engine per workspace regardless of its popularity, and a bound that never applies.
     placement::AffinityOptions naive;
     naive.fillFactor = 1e9;
-    naive.onsetFactor = 1e9;
+    naive.burstFillFactor = 1e9;
     naive.loadFactor = 1e9;
-    SliverFleet<placement::PrefixAffinity> fleet(placement::PrefixAffinity(naive), 40, 60);
+    PartialViewFleet<placement::PrefixAffinity> fleet(placement::PrefixAffinity(naive), 40, 60);
     CHECK(fleet.worstSkew(20000, 1200) > 2.0);
 }
 
-TEST(InvariantSkewBound, AnEngineReportedAtTheBoundIsPassedBy)
+TEST(InvariantSkewBound, EngineReportedAtBoundIsSkippedUntilReportAges)
 {
     placement::PrefixAffinity p;
     p.setMembers(engineIds(4));
@@ -346,12 +344,12 @@
     }
     now += std::chrono::milliseconds(300);
     CHECK(*p.pick(a, all, now) != home);
-    // Its report grows old: the engine counts as an average one again.
+    // An old report loses its weight, and the engine counts as average again.
     now += std::chrono::seconds(60);
     LONGS_EQUAL(home, *p.pick(a, all, now));
 }
 
-TEST(AffinityThroughChurn, EveryRouterSendsAConversationToTheSameEngine)
+TEST(AffinityThroughChurn, RoutersSendConversationToSameEngine)
 {
     placement::PrefixAffinity a, b;
     a.setMembers(engineIds(20));
@@ -363,7 +361,7 @@
     }
 }
 
-TEST(AffinityThroughChurn, AHotPromptGetsMoreEnginesAndAColdOneKeepsOne)
+TEST(AffinityThroughChurn, PopularPromptGetsAllEnginesAndRarePromptFew)
 {
     placement::PrefixAffinity p;
     p.setMembers(engineIds(64));
@@ -378,10 +376,10 @@
     CHECK(p.replicas(ring::hash("w", 100), 64) <= 8);
 }
 
-TEST(AffinityThroughChurn, AnEndlessVarietyOfPromptsTakesBoundedMemory)
+TEST(AffinityThroughChurn, StoredReplicaSetsStayBoundedForUnlimitedPrompts)
 {
     placement::AffinityOptions o;
-    o.heatKeys = 64;
+    o.trackedKeys = 64;
     placement::PrefixAffinity p(o);
     p.setMembers(engineIds(32));
     const placement::Usable all(32, true);
@@ -389,14 +387,14 @@
     for (int i = 0; i < 20000; ++i) {
         now += std::chrono::milliseconds(10);
         p.placed(*p.pick({ring::hash("w", i / 8), ring::hash("c", i)}, all, now), now);
-        CHECK(p.heldSets() <= 4 * o.heatKeys);
+        CHECK(p.replicaSetCount() <= 4 * o.trackedKeys);
     }
 }
 
-TEST(AffinityThroughChurn, DifferentialRunAgainstRoundRobinKeepsMoreConversationsHome)
+TEST(AffinityThroughChurn, AffinityReturnsMoreTurnsToTheirEngineThanRoundRobin)
 {
-    // The same returning turns through our policy and the naive one, while
-    // engines leave and join: how many turns find their last engine again.
+    // Sends the same returning turns through the affinity policy and round robin while engines leave and join, and
+    // counts the turns that reach their last engine again.
     const auto returns = [](auto policy) {
         std::mt19937_64 rng(5);
         auto ids = engineIds(12);
--- a/tests/test_router.cpp
+++ b/tests/test_router.cpp
@@ -1,10 +1,9 @@
-// The router's traffic side against small fakes at its interfaces: fake
-// endpoints on loopback and the object API in process, on one event loop.
-// No timing asserts: every wait is on an event.
+// Tests of the router's traffic side with fake endpoints on loopback and an in-process object API, on one event loop.
+// Every wait is for an event; no test depends on timing.
 #include "duties.h"
 #include "rig.h"
 
-// CppUTest goes last: its memory-leak macros redefine operator new.
+// CppUTest goes last: its memory leak macros redefine operator new.
 #include "loop_group.h"
 
 #include <fstream>
@@ -16,8 +15,8 @@
 namespace
 {
 
-// Streams three events and, unless cut, the terminal one; resumes after
-// Last-Event-Id, as engines do.
+// Streams three events and the terminal one, and breaks off after cutAfter events. Resumes after Last-Event-Id, as
+// engines do.
 Task<void> streamThree(http::Exchange &ex, std::size_t cutAfter)
 {
     const std::string resume = ex.header("last-event-id");
@@ -25,7 +24,7 @@
     co_await ex.beginStream(200, "text/event-stream", echo(ex));
     for (std::size_t i = after + 1; i <= 3; ++i) {
         if (i > cutAfter) {
-            co_await ex.sendChunk("id: " + std::to_string(i) + "\ndata: {\"half\":"); // breaks off mid-event
+            co_await ex.sendChunk("id: " + std::to_string(i) + "\ndata: {\"half\":"); // ends in the middle of an event
             ex.drop();
             co_return;
         }
@@ -47,7 +46,7 @@
 
 LOOP_GROUP(InvariantOwnAnswer);
 
-TEST(InvariantOwnAnswer, AnswersArrivingOutOfOrderReachTheirOwnCallers)
+TEST(InvariantOwnAnswer, OutOfOrderAnswersReachTheirOwnCallers)
 {
     Signal secondAnswered;
     FakeEndpoint engine(loop(), [&](http::Exchange &ex) -> Task<void> {
@@ -69,7 +68,7 @@
     STRCMP_EQUAL(R"({"id":"first"})", std::get<http::Reply>(*first).body.c_str());
 }
 
-TEST(InvariantOwnAnswer, AnotherRequestsAnswerIsNeverHandedOn)
+TEST(InvariantOwnAnswer, AnswerWithForeignRequestIdIsNotForwarded)
 {
     FakeEndpoint engine(loop(), [&](http::Exchange &ex) -> Task<void> {
         http::Headers headers;
@@ -83,7 +82,7 @@
     STRCMP_EQUAL("unknown", outcomeOf(reply).c_str());
 }
 
-TEST(InvariantOwnAnswer, AStreamThatNobodyCanFinishDoesNotLookComplete)
+TEST(InvariantOwnAnswer, UnresumableCutStreamClosesWithoutLastChunk)
 {
     FakeEndpoint engine(loop(), [&](http::Exchange &ex) {
         return streamThree(ex, 1);
@@ -93,7 +92,7 @@
     CHECK(std::holds_alternative<http::CallError>(r)); // the connection closes without the last chunk
 }
 
-TEST(InvariantOwnAnswer, AStreamCutMidEventGoesOnAtAnotherEngineWholeAndInOrder)
+TEST(InvariantOwnAnswer, StreamCutMidEventResumesCompleteAtAnotherEngine)
 {
     int cuts = 0;
     const auto handler = [&](http::Exchange &ex) {
@@ -104,11 +103,11 @@
     const auto reply = std::get<http::Reply>(rig.chat(streamBody));
     LONGS_EQUAL(200, reply.status);
     LONGS_EQUAL(2, cuts);
-    // The whole session as the caller saw it.
+    // The complete stream as the caller received it.
     STRCMP_EQUAL(readFile("tests/golden/stream_resumed.txt").c_str(), reply.body.c_str());
 }
 
-TEST(InvariantOwnAnswer, ALateRepeatOfEventsIsDroppedAndAMissingOneEndsTheRun)
+TEST(InvariantOwnAnswer, RepeatedEventIsDroppedAndMissingEventReportsGap)
 {
     sse::EventRelay relay;
     LONGS_EQUAL(1, relay.push("id: 1\ndata: a\n\nid: 2\nda").size());
@@ -121,7 +120,7 @@
 
 LOOP_GROUP(InvariantNotRunTruth);
 
-TEST(InvariantNotRunTruth, AStoreOutageIsAnsweredNotRunAtOnceAndNothingRuns)
+TEST(InvariantNotRunTruth, StoreOutageIsAnsweredNotRunAndCallIsNotSent)
 {
     int runs = 0;
     FakeEndpoint service(loop(), [&](http::Exchange &ex) -> Task<void> {
@@ -137,7 +136,7 @@
     LONGS_EQUAL(0, runs);
 }
 
-TEST(InvariantNotRunTruth, AnEndpointThatRefusesTheConnectionMeansNotRunAndARetryMayRun)
+TEST(InvariantNotRunTruth, RefusedConnectionIsAnsweredNotRunAndRecorded)
 {
     uint16_t closedPort;
     {
@@ -152,12 +151,12 @@
     STRCMP_EQUAL("not_run", std::get<store::Object>(record).value["state"].get<std::string>().c_str());
 }
 
-TEST(InvariantNotRunTruth, AnAnswerLostAfterSendingIsUnknownNeverNotRunAndNeverRunsTwice)
+TEST(InvariantNotRunTruth, LostAnswerIsUnknownAndCallRunsOnlyOnce)
 {
     int runs = 0;
     FakeEndpoint service(loop(), [&](http::Exchange &ex) -> Task<void> {
         ++runs;
-        ex.drop(); // it ran; its answer is lost
+        ex.drop(); // the call ran, but its answer is lost
         co_return;
     });
     RouterRig rig(loop(), {endpointAt("s1", service.port, "s", EndpointKind::Service)});
@@ -169,10 +168,10 @@
     LONGS_EQUAL(1, runs);
 }
 
-TEST(InvariantNotRunTruth, AChatThatReachedAnEngineIsNeverCalledNotRun)
+TEST(InvariantNotRunTruth, ChatThatReachedEngineIsUnknownAfterConnectionLoss)
 {
     FakeEndpoint engine(loop(), [&](http::Exchange &ex) -> Task<void> {
-        ex.drop(); // it began to run, then the engine was killed
+        ex.drop(); // the request started, then the engine died
         co_return;
     });
     RouterRig rig(loop(), {endpointAt("e", engine.port, "p", EndpointKind::Engine)});
@@ -181,7 +180,7 @@
     STRCMP_EQUAL("unknown", outcomeOf(reply).c_str());
 }
 
-TEST(InvariantNotRunTruth, AnEngineThatSaysItDidNotRunItIsBelieved)
+TEST(InvariantNotRunTruth, NotExecutedHeaderIsAnsweredNotRun)
 {
     int asked = 0;
     FakeEndpoint engine(loop(), [&](http::Exchange &ex) -> Task<void> {
@@ -198,7 +197,7 @@
     STRCMP_EQUAL("not_run", outcomeOf(rig.book("k1")).c_str());
 }
 
-TEST(InvariantNotRunTruth, AWorkspaceOverItsRateIsToldWhenToComeBackAndNothingIsSent)
+TEST(InvariantNotRunTruth, WorkspaceAboveRateGetsRetryAfterAndNothingIsSent)
 {
     int runs = 0;
     FakeEndpoint engine(loop(), [&](http::Exchange &ex) -> Task<void> {
@@ -216,7 +215,7 @@
     LONGS_EQUAL(1, runs);
 }
 
-TEST(InvariantNotRunTruth, AMalformedChatIsRefusedBeforeAnyEngineSeesIt)
+TEST(InvariantNotRunTruth, MalformedChatIsRejectedWithoutReachingAnEngine)
 {
     int runs = 0;
     FakeEndpoint engine(loop(), [&](http::Exchange &ex) -> Task<void> {
@@ -234,7 +233,7 @@
 
 LOOP_GROUP(InvariantGracefulStop);
 
-TEST(InvariantGracefulStop, APlannedStopRefusesNewConnectionsAndFinishesTheRequestInFlight)
+TEST(InvariantGracefulStop, PlannedStopRefusesNewConnectionsAndFinishesInflightRequest)
 {
     Signal arrived, release;
     FakeEndpoint engine(loop(), [&](http::Exchange &ex) -> Task<void> {
@@ -264,7 +263,7 @@
 
 LOOP_GROUP(Cancellation);
 
-TEST(Cancellation, ACallerThatLeavesEndsTheEnginesWork)
+TEST(Cancellation, CallerDisconnectCancelsEngineRequest)
 {
     Signal arrived, gone;
     FakeEndpoint engine(loop(), [&](http::Exchange &ex) -> Task<void> {
@@ -292,7 +291,7 @@
     CHECK(gone.fired());
 }
 
-TEST(Cancellation, ACallerThatDoesNotReadIsGivenUpAfterTheWriteTimeout)
+TEST(Cancellation, CallerThatDoesNotReadIsDroppedAfterWriteTimeout)
 {
     Signal ended;
     http::ServerLimits limits;
@@ -310,7 +309,7 @@
     asio::ip::tcp::socket caller(loop().io);
     caller.connect({asio::ip::make_address("127.0.0.1"), port});
     auto request = http::makeRequest("GET", "/", "", {{"Host", "server"}});
-    http::bhttp::write(caller, request); // and never reads
+    http::bhttp::write(caller, request); // the caller never reads the answer
     loop().until([&] {
         return ended.fired();
     });
@@ -319,13 +318,13 @@
 
 LOOP_GROUP(Recovery);
 
-TEST(Recovery, ARecordThatCouldNotBeStoredInAnOutageIsStoredAfterIt)
+TEST(Recovery, RecordFromStoreOutageIsStoredAfterIt)
 {
     RouterRig *wired = nullptr;
     int runs = 0;
     FakeEndpoint service(loop(), [&](http::Exchange &ex) -> Task<void> {
         ++runs;
-        wired->api.outage = true; // the store goes down while the call runs
+        wired->api.outage = true; // the store goes down during the call
         co_await ex.reply(200, R"({"confirmation":"c-1"})", echo(ex));
     });
     RouterRig rig(loop(), {endpointAt("s1", service.port, "s", EndpointKind::Service)});
@@ -344,7 +343,7 @@
     LONGS_EQUAL(1, runs);
 }
 
-TEST(Recovery, ConnectionsToEnginesThatHaveGoneAreClosed)
+TEST(Recovery, IdleConnectionsAreClosed)
 {
     const auto answer = [](http::Exchange &ex) -> Task<void> {
         co_await ex.reply(200, "{}", echo(ex));
@@ -363,7 +362,7 @@
     LONGS_EQUAL(0, client.keptConnections());
 }
 
-TEST(Recovery, AnOrderThatAnEngineFailedOnMayHaveActed)
+TEST(Recovery, OrderResultFollowsEngineStatus)
 {
     unsigned status = 0;
     FakeEndpoint engine(loop(), [&](http::Exchange &ex) {
@@ -381,7 +380,7 @@
     CHECK(ack(500) == orders::Ack::Unknown);
 }
 
-TEST(Recovery, RetriesStopWhenTheBudgetIsSpent)
+TEST(Recovery, RetriesStopWhenBudgetIsExhausted)
 {
     int asked = 0;
     FakeEndpoint engine(loop(), [&](http::Exchange &ex) -> Task<void> {
