--- a/tests/test_entry.cpp
+++ b/tests/test_entry.cpp
@@ -1,5 +1,5 @@
-// The entry router against endpoints that answer with bytes of the test's
-// choice. No timing asserts: every wait is on an event.
+// Tests of the entry router with scripted endpoints. There are no timing assertions: every wait is
+// for an event.
 #include "entry_rig.h"
 
 #include "loop_group.h"
@@ -10,13 +10,13 @@
 namespace
 {
 
-// The id of a request, as the endpoint echoes it.
+// Returns the id of a request, which the endpoint echoes.
 std::string idOf(const SeenRequest &request)
 {
     return request.header("Yuccasaddle-Attempt-Id");
 }
 
-RawEndpoint::Script answering(const std::string &body, const std::string &status = "200 OK", const std::string &extra = {})
+RawEndpoint::Script respondingWith(const std::string &body, const std::string &status = "200 OK", const std::string &extra = {})
 {
     return [=](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
         co_await sendBytes(socket, signedAnswer(idOf(request), body, status, extra));
@@ -38,7 +38,8 @@
     };
 }
 
-// Streams events after the caller's last one up to a last; breaks off in the middle of the event after cutAfter.
+// Streams events from the one after the caller's last event up to the event numbered last; resets
+// the connection in the middle of the event after cutAfter.
 RawEndpoint::Script streaming(int last, int cutAfter = 1000)
 {
     return [=](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
@@ -70,9 +71,9 @@
 
 LOOP_GROUP(EntryForwarding);
 
-TEST(EntryForwarding, WhatTheCallerSentArrivesUnchanged)
+TEST(EntryForwarding, RequestOfTheCallerArrivesUnchanged)
 {
-    RawEndpoint engine(loop(), answering("ok"));
+    RawEndpoint engine(loop(), respondingWith("ok"));
     EntryRig rig(loop(), {{"e1", {"s", engine.port}}});
     const auto reply =
         rig.reply("POST", "/book/2f?x=1&y=%20", "a1", {{"X-Trace", "one"}, {"X-Trace", "two"}, {"Yuccasaddle-Deadline-Ms", "3000"}}, "{\"a\":1}");
@@ -88,9 +89,9 @@
     STRCMP_EQUAL("a1", idOf(seen).c_str());
 }
 
-TEST(EntryForwarding, TheRoutersOwnHeadersAreNeverTakenFromTheCaller)
+TEST(EntryForwarding, RouterHeadersSentByTheCallerAreReplaced)
 {
-    RawEndpoint engine(loop(), answering("ok"));
+    RawEndpoint engine(loop(), respondingWith("ok"));
     EntryRig rig(loop(), {{"e1", {"s", engine.port}}});
     const http::Headers forged{{"Yuccasaddle-Tenant", "south"}, {"Yuccasaddle-Expected-Instance", "other"}, {"Yuccasaddle-Hold", "h"},
                                {"Yuccasaddle-Pin-Ms", "9"},     {"Yuccasaddle-Kv-Backup", "1.2.3.4:5"},     {"Kv-From", "1.2.3.4:5/6"},
@@ -105,9 +106,9 @@
     }
 }
 
-TEST(EntryForwarding, HopByHopFieldsAreDroppedAlsoThoseThatConnectionNames)
+TEST(EntryForwarding, HopByHopHeadersAreDroppedIncludingThoseNamedByConnection)
 {
-    RawEndpoint engine(loop(), answering("ok", "200 OK", "Connection: X-Hop\r\nX-Hop: 1\r\nX-Kept: 2\r\n"));
+    RawEndpoint engine(loop(), respondingWith("ok", "200 OK", "Connection: X-Hop\r\nX-Hop: 1\r\nX-Kept: 2\r\n"));
     EntryRig rig(loop(), {{"e1", {"s", engine.port}}});
     const auto reply = rig.reply("POST", "/book/1", "a1", {{"Connection", "X-Private"}, {"X-Private", "1"}, {"TE", "trailers"}});
     STRCMP_EQUAL("(none)", engine.seen[0].header("X-Private").c_str());
@@ -116,9 +117,9 @@
     STRCMP_EQUAL("2", reply.header("X-Kept").c_str());
 }
 
-TEST(EntryForwarding, TheTimeHandedOnIsWhatIsLeft)
+TEST(EntryForwarding, ForwardedDeadlineIsTheRemainingTime)
 {
-    RawEndpoint engine(loop(), answering("ok"));
+    RawEndpoint engine(loop(), respondingWith("ok"));
     EntryRig rig(loop(), {{"e1", {"s", engine.port}}});
     rig.reply("POST", "/book/1", "a1", {{"Yuccasaddle-Deadline-Ms", "700"}});
     rig.reply("POST", "/book/1", "a2", {{"Yuccasaddle-Deadline-Ms", "90000"}});
@@ -128,9 +129,9 @@
     CHECK(routeTimeout > 700 && routeTimeout <= 5000);
 }
 
-TEST(EntryForwarding, AKeptConnectionIsUsedAgain)
+TEST(EntryForwarding, KeepAliveConnectionIsReused)
 {
-    RawEndpoint engine(loop(), answering("ok", "200 OK", "Keep-Alive: timeout=5\r\n"));
+    RawEndpoint engine(loop(), respondingWith("ok", "200 OK", "Keep-Alive: timeout=5\r\n"));
     EntryRig rig(loop(), {{"e1", {"s", engine.port}}});
     rig.reply("POST", "/book/1", "a1");
     rig.reply("POST", "/book/1", "a2");
@@ -138,9 +139,10 @@
     LONGS_EQUAL(1, engine.connections);
 }
 
-TEST(EntryForwarding, AnAnswerBeforeTheBodyIsReadGetsThroughAndItsConnectionIsNotUsedAgain)
+TEST(EntryForwarding, EarlyResponseIsRelayedAndItsConnectionIsNotReused)
 {
-    // Answers at the head of a body too large for the sockets' buffers, and reads none of it.
+    // An endpoint that responds to the head of a request, whose body exceeds the socket buffers,
+    // and reads none of the body.
     tcp::acceptor acceptor(loop().io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     int connections = 0;
     const auto serve = [&]() -> Task<void> {
@@ -172,9 +174,9 @@
 
 LOOP_GROUP(EntryIdentify);
 
-TEST(EntryIdentify, TheLongestPrefixOfTheHostDecides)
+TEST(EntryIdentify, LongestMatchingPrefixOfTheHostSelectsTheRoute)
 {
-    RawEndpoint engine(loop(), answering("ok"));
+    RawEndpoint engine(loop(), respondingWith("ok"));
     EntryRig rig(loop(), {{"e1", {"s", engine.port}}});
     LONGS_EQUAL(404, rig.reply("GET", "/elsewhere/1", "a1").status);
     LONGS_EQUAL(404, rig.reply("GET", "/book", "a2").status);
@@ -183,9 +185,9 @@
     LONGS_EQUAL(404, std::get<http::Reply>(loop().run(rig.send("GET", "/book/1", {{"Host", "other.example"}, {"X-Api-Key", "key-n"}}, ""))).status);
 }
 
-TEST(EntryIdentify, AnUnknownKeyIsRefusedUnlessTheRouteIsPublic)
+TEST(EntryIdentify, UnknownKeyIsRejectedUnlessTheRouteIsPublic)
 {
-    RawEndpoint engine(loop(), answering("ok"));
+    RawEndpoint engine(loop(), respondingWith("ok"));
     EntryRig rig(loop(), {{"e1", {"s", engine.port}}});
     const auto status = [&](const std::string &target, http::Headers headers) {
         headers.emplace_back("Host", "H.example:8080");
@@ -201,9 +203,9 @@
     STRCMP_EQUAL("south", engine.seen.back().header("Yuccasaddle-Tenant").c_str());
 }
 
-TEST(EntryIdentify, ANewVersionIsInForceAtOnceAndAnOlderOneNeverAgain)
+TEST(EntryIdentify, NewerConfigurationAppliesAtOnceAndAnOlderOneIsIgnored)
 {
-    RawEndpoint engine(loop(), answering("ok"));
+    RawEndpoint engine(loop(), respondingWith("ok"));
     EntryRig rig(loop(), {{"e1", {"s", engine.port}}});
     LONGS_EQUAL(200, rig.reply("POST", "/book/1", "a1").status);
     auto revoked = entryConfiguration(7);
@@ -214,7 +216,7 @@
     LONGS_EQUAL(401, rig.reply("POST", "/book/1", "a3").status);
 }
 
-TEST(EntryIdentify, WhatARouterOutOfTouchDoesNotKnowMayBeNew)
+TEST(EntryIdentify, UnknownRouteOrKeyIsRetryableWhileTheStoreIsSilent)
 {
     EntryRig rig(loop(), {});
     const auto unknownKey = [&](const std::string &id) {
@@ -232,7 +234,7 @@
     LONGS_EQUAL(401, unknownKey("a5").status);
 }
 
-TEST(EntryIdentify, WithoutAConfigurationRequestsAreToldToComeBack)
+TEST(EntryIdentify, RequestWithoutAConfigurationGetsRetryAfter)
 {
     router::RoutingTable table;
     entry::Published published(table);
@@ -251,9 +253,9 @@
     CHECK(!std::get<http::Reply>(result).header("Retry-After").empty());
 }
 
-LOOP_GROUP(EntryOwnAnswer);
+LOOP_GROUP(EntryResponse);
 
-TEST(EntryOwnAnswer, ALateAnswerToAnotherRequestIsPassedOver)
+TEST(EntryResponse, LateResponseToAnotherRequestIsSkipped)
 {
     RawEndpoint engine(loop(), [](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
         co_await sendBytes(socket, signedAnswer("somebody", "not yours") + signedAnswer(idOf(request), "mine"));
@@ -262,10 +264,10 @@
     const auto reply = rig.reply("POST", "/book/1", "a1");
     STRCMP_EQUAL("mine", reply.body.c_str());
     rig.reply("POST", "/book/1", "a2");
-    LONGS_EQUAL(2, engine.connections); // one that mixed answers is not kept
+    LONGS_EQUAL(2, engine.connections); // a connection that delivered another request's response is not reused
 }
 
-TEST(EntryOwnAnswer, BytesBehindACompleteAnswerBelongToNobody)
+TEST(EntryResponse, BytesAfterACompleteResponseAreDiscarded)
 {
     RawEndpoint engine(loop(), [](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
         co_await sendBytes(socket, signedAnswer(idOf(request), "mine") + signedAnswer(idOf(request), "again"));
@@ -276,7 +278,7 @@
     LONGS_EQUAL(2, engine.connections);
 }
 
-TEST(EntryOwnAnswer, ASuccessWithoutASignatureOrWithAnEncodingIsNotHandedOn)
+TEST(EntryResponse, UnsignedOrEncodedSuccessIsNotRelayed)
 {
     int answers = 0;
     RawEndpoint engine(loop(), [&](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
@@ -292,7 +294,7 @@
     LONGS_EQUAL(502, rig.reply("POST", "/book/1", "a2").status);
 }
 
-TEST(EntryOwnAnswer, ATruncatedAnswerIsNeverHandedOnAsComplete)
+TEST(EntryResponse, TruncatedResponseIsNotRelayedAsComplete)
 {
     RawEndpoint engine(loop(), [](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
         std::string answer = signedAnswer(idOf(request), "a whole answer");
@@ -304,13 +306,13 @@
     LONGS_EQUAL(1, engine.seen.size());
 }
 
-TEST(EntryOwnAnswer, AnAnswerWithoutLengthEndsWithItsConnectionUnlessThatIsReset)
+TEST(EntryResponse, ResponseWithoutLengthEndsAtConnectionCloseButNotAtReset)
 {
     bool reset = false;
     RawEndpoint engine(loop(), [&](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
         co_await sendBytes(socket, "HTTP/1.1 200 OK\r\nYuccasaddle-Response-Signature: s\r\nYuccasaddle-Attempt-Id: " + idOf(request) + "\r\n\r\nall of it");
         if (reset) {
-            co_await sleepFor(Millis(20)); // the bytes arrive, then the reset
+            co_await sleepFor(Millis(20)); // the bytes must arrive before the reset
             resetConnection(socket);
         } else {
             socket.close();
@@ -324,9 +326,9 @@
     LONGS_EQUAL(502, rig.reply("POST", "/book/1", "a2").status);
 }
 
-TEST(EntryOwnAnswer, AnEnginesOwnFailureIsHandedOnUnchanged)
+TEST(EntryResponse, FailureResponseOfAnEngineIsRelayedUnchanged)
 {
-    RawEndpoint engine(loop(), answering("it broke", "500 Internal Server Error"));
+    RawEndpoint engine(loop(), respondingWith("it broke", "500 Internal Server Error"));
     EntryRig rig(loop(), {{"e1", {"s", engine.port}}});
     const auto reply = rig.reply("POST", "/book/1", "a1");
     LONGS_EQUAL(500, reply.status);
@@ -336,16 +338,16 @@
 
 LOOP_GROUP(EntryAtMostOnce);
 
-TEST(EntryAtMostOnce, ANonIdempotentRequestIsNotSentAgainAfterItMayHaveRun)
+TEST(EntryAtMostOnce, NonIdempotentRequestIsNotRetriedAfterItMayHaveRun)
 {
     RawEndpoint first(loop(), resetting());
     RawEndpoint second(loop(), resetting());
     EntryRig rig(loop(), {{"e1", {"s", first.port}}, {"e2", {"s", second.port}}});
-    LONGS_EQUAL(502, rig.reply("POST", "/book/1", "a1").status); // promises nothing
+    LONGS_EQUAL(502, rig.reply("POST", "/book/1", "a1").status); // 502 makes no promise about execution
     LONGS_EQUAL(1, first.seen.size() + second.seen.size());
 }
 
-TEST(EntryAtMostOnce, NotIfItsKeptConnectionBreaksEither)
+TEST(EntryAtMostOnce, NonIdempotentRequestIsNotRetriedWhenItsKeepAliveConnectionBreaks)
 {
     int answered = 0;
     const auto once = [&](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
@@ -362,9 +364,9 @@
     LONGS_EQUAL(2, engine.seen.size());
 }
 
-TEST(EntryAtMostOnce, OnceAKeptConnectionBrokeOthersAreNotTrustedWithWhatRunsOnce)
+TEST(EntryAtMostOnce, NonIdempotentRequestsUseNewConnectionsAfterAKeepAliveConnectionBroke)
 {
-    // An endpoint that forgets its idle connections: whatever comes second on one is reset.
+    // An endpoint that drops its idle connections: the second request on each connection is reset.
     std::map<std::string, int> onConnection;
     RawEndpoint engine(loop(), [&](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
         if (++onConnection[request.connection] == 1) {
@@ -375,15 +377,15 @@
     });
     EntryRig rig(loop(), {{"e1", {"s", engine.port}}});
     LONGS_EQUAL(200, rig.reply("GET", "/remind/1", "a1").status);
-    LONGS_EQUAL(200, rig.reply("GET", "/remind/1", "a2").status); // repeated on a new connection
+    LONGS_EQUAL(200, rig.reply("GET", "/remind/1", "a2").status); // sent again on a new connection
     LONGS_EQUAL(200, rig.reply("POST", "/book/1", "a3").status);
     LONGS_EQUAL(200, rig.reply("POST", "/book/1", "a4").status);
 }
 
-TEST(EntryAtMostOnce, OneThatAnEngineShedGoesToAnotherAndOnlyThenIsToldNotRun)
+TEST(EntryAtMostOnce, ShedRequestIsRetriedElsewhereBeforeItIsRejected)
 {
     RawEndpoint full(loop(), shedding());
-    RawEndpoint other(loop(), answering("done"));
+    RawEndpoint other(loop(), respondingWith("done"));
     EntryRig rig(loop(), {{"e1", {"s", full.port}}, {"e2", {"s", other.port}}});
     for (int i = 0; i < 6; ++i) {
         LONGS_EQUAL(200, rig.reply("POST", "/book/1", "a" + std::to_string(i)).status);
@@ -394,37 +396,38 @@
     CHECK(std::stod(refused.header("Retry-After")) > 0);
 }
 
-TEST(EntryAtMostOnce, AnotherInstanceAtTheAddressDidNotRunIt)
+TEST(EntryAtMostOnce, RequestIsRetriedWhenAnotherInstanceHasTheAddress)
 {
     RawEndpoint reused(loop(), [](tcp::socket &socket, const SeenRequest &) -> Task<void> {
         co_await sendBytes(socket, "HTTP/1.1 421 Misdirected Request\r\nYuccasaddle-Instance-Id: new\r\nContent-Length: 0\r\n\r\n");
     });
-    RawEndpoint engine(loop(), answering("done"));
+    RawEndpoint engine(loop(), respondingWith("done"));
     EntryRig rig(loop(), {{"e1", {"s", reused.port}}, {"e2", {"s", engine.port}}});
     for (int i = 0; i < 4; ++i) {
         LONGS_EQUAL(200, rig.reply("POST", "/book/1", "a" + std::to_string(i)).status);
     }
-    CHECK(reused.seen.size() <= 1); // it gets no more work
+    CHECK(reused.seen.size() <= 1); // the endpoint gets no further requests
 }
 
-TEST(EntryAtMostOnce, IdempotentRequestsGoElsewhereAfterAFailureWithinTheirAttempts)
+TEST(EntryAtMostOnce, FailedIdempotentRequestIsRetriedElsewhereUpToMaxAttempts)
 {
-    RawEndpoint failing(loop(), answering("it broke", "500 Internal Server Error"));
-    RawEndpoint dying(loop(), resetting());
-    RawEndpoint sound(loop(), answering("done"));
-    EntryRig rig(loop(), {{"e1", {"s", failing.port}}, {"e2", {"s", sound.port}}});
+    RawEndpoint failing(loop(), respondingWith("it broke", "500 Internal Server Error"));
+    RawEndpoint resettingEndpoint(loop(), resetting());
+    RawEndpoint healthy(loop(), respondingWith("done"));
+    EntryRig rig(loop(), {{"e1", {"s", failing.port}}, {"e2", {"s", healthy.port}}});
     for (int i = 0; i < 6; ++i) {
         LONGS_EQUAL(200, rig.reply("GET", "/remind/1", "a" + std::to_string(i)).status);
     }
-    EntryRig hopeless(loop(), {{"e1", {"s", failing.port}}, {"e2", {"s", dying.port}}, {"e3", {"s", failing.port}}, {"e4", {"s", dying.port}}});
-    const auto before = failing.seen.size() + dying.seen.size();
-    hopeless.reply("GET", "/remind/1", "b1");
-    CHECK(failing.seen.size() + dying.seen.size() - before <= 2); // max_attempts
+    EntryRig allFailing(
+        loop(), {{"e1", {"s", failing.port}}, {"e2", {"s", resettingEndpoint.port}}, {"e3", {"s", failing.port}}, {"e4", {"s", resettingEndpoint.port}}});
+    const auto before = failing.seen.size() + resettingEndpoint.seen.size();
+    allFailing.reply("GET", "/remind/1", "b1");
+    CHECK(failing.seen.size() + resettingEndpoint.seen.size() - before <= 2); // max_attempts
 }
 
-// The request was sent on a kept connection that broke, and the new connection
-// was refused: callers were told that it had not run, though it may have.
-TEST(EntryAtMostOnce, WhatMayHaveRunOnAKeptConnectionIsNotToldNotRun)
+// Guards against a false promise to the caller: the request was sent on a keep-alive connection
+// that broke, and the new connection was refused. The request may have run on the first one.
+TEST(EntryAtMostOnce, RequestLostOnAKeepAliveConnectionIsNotReportedAsNotRun)
 {
     RawEndpoint *self = nullptr;
     RawEndpoint endpoint(loop(), [&](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
@@ -432,7 +435,7 @@
             co_await sendBytes(socket, signedAnswer(idOf(request), "ok"));
             co_return;
         }
-        self->end();
+        self->stopListening();
         resetConnection(socket);
     });
     self = &endpoint;
@@ -442,23 +445,23 @@
     LONGS_EQUAL(2, endpoint.seen.size());
 }
 
-TEST(EntryAtMostOnce, RetriesEndWithTheirBudget)
+TEST(EntryAtMostOnce, RetriesStayWithinTheRetryBudget)
 {
-    RawEndpoint failing(loop(), answering("it broke", "500 Internal Server Error"));
+    RawEndpoint failing(loop(), respondingWith("it broke", "500 Internal Server Error"));
     EntryRig rig(loop(), {{"e1", {"s", failing.port}}, {"e2", {"s", failing.port}}}, 208);
     const int requests = 100;
     for (int i = 0; i < requests; ++i) {
         rig.reply("GET", "/remind/1", "a" + std::to_string(i));
     }
-    // The reserve that every router has must stay within the slack of a
-    // deployment of 84 routers (208 further arrivals).
+    // The minimum reserve of each router must fit into the slack of a deployment of 84 routers (208
+    // extra arrivals).
     const double allowed = rig.settings.retryRatio * requests + 208.0 / 84;
     CHECK(static_cast<double>(failing.seen.size()) <= requests + allowed);
 }
 
 LOOP_GROUP(EntryStreams);
 
-TEST(EntryStreams, EventsArriveInOrderAndWhole)
+TEST(EntryStreams, EventsArriveInOrderAndComplete)
 {
     RawEndpoint engine(loop(), streaming(5));
     EntryRig rig(loop(), {{"e1", {"m", engine.port}}});
@@ -468,23 +471,23 @@
     STRCMP_EQUAL("sig-a1", reply.header("Yuccasaddle-Response-Signature").c_str());
 }
 
-TEST(EntryStreams, AResumableStreamGoesOnAtAnotherEngineAfterTheLastWholeEvent)
+TEST(EntryStreams, ResumableStreamContinuesElsewhereAfterTheLastCompleteEvent)
 {
     RawEndpoint cutting(loop(), streaming(5, 2));
-    RawEndpoint sound(loop(), streaming(5));
-    EntryRig rig(loop(), {{"e1", {"m", cutting.port}}, {"e2", {"m", sound.port}}});
+    RawEndpoint healthy(loop(), streaming(5));
+    EntryRig rig(loop(), {{"e1", {"m", cutting.port}}, {"e2", {"m", healthy.port}}});
     for (int i = 0; i < 6; ++i) {
         const auto reply = rig.reply("POST", "/chat/1", "a" + std::to_string(i));
         STRCMP_EQUAL(events(5).c_str(), reply.body.c_str());
     }
     CHECK(!cutting.seen.empty());
-    const bool resumed = std::any_of(sound.seen.begin(), sound.seen.end(), [](const SeenRequest &r) {
+    const bool resumed = std::any_of(healthy.seen.begin(), healthy.seen.end(), [](const SeenRequest &r) {
         return r.header("Last-Event-Id") == "2";
     });
     CHECK(resumed);
 }
 
-TEST(EntryStreams, OneThatMayNotBeResumedIsCutAndDoesNotLookComplete)
+TEST(EntryStreams, BrokenNonResumableStreamDoesNotLookComplete)
 {
     RawEndpoint cutting(loop(), streaming(5, 2));
     EntryRig rig(loop(), {{"e1", {"m", cutting.port}}, {"e2", {"m", cutting.port}}});
@@ -493,7 +496,7 @@
     LONGS_EQUAL(1, cutting.seen.size());
 }
 
-TEST(EntryStreams, ACallersOwnResumptionIsHandedOn)
+TEST(EntryStreams, LastEventIdOfTheCallerIsForwarded)
 {
     RawEndpoint engine(loop(), streaming(5));
     EntryRig rig(loop(), {{"e1", {"m", engine.port}}});
@@ -502,16 +505,16 @@
     STRCMP_EQUAL((eventNumber(4) + eventNumber(5)).c_str(), reply.body.c_str());
 }
 
-TEST(EntryStreams, ACallerThatLeavesStopsTheEnginesWork)
+TEST(EntryStreams, DisconnectOfTheCallerClosesTheEngineConnection)
 {
-    Signal engineSawTheEnd;
+    Signal connectionClosed;
     RawEndpoint engine(loop(), [&](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
         co_await sendBytes(socket, streamHead(idOf(request)) + chunk(eventNumber(1)));
         char byte;
         boost::system::error_code ec;
         co_await socket.async_read_some(asio::buffer(&byte, 1), asio::redirect_error(asio::use_awaitable, ec));
         CHECK(ec.failed());
-        engineSawTheEnd.fire();
+        connectionClosed.fire();
     });
     EntryRig rig(loop(), {{"e1", {"m", engine.port}}});
     tcp::socket caller(loop().io);
@@ -523,14 +526,14 @@
     });
     caller.close();
     loop().until([&] {
-        return engineSawTheEnd.fired() && rig.server.inflight() == 0;
+        return connectionClosed.fired() && rig.server.inflight() == 0;
     });
-    CHECK(engineSawTheEnd.fired());
+    CHECK(connectionClosed.fired());
 }
 
 LOOP_GROUP(EntryPromptHome);
 
-TEST(EntryPromptHome, RequestsThatShareAPromptGoToOneEngine)
+TEST(EntryPromptHome, RequestsWithASharedPromptGoToOneEngine)
 {
     RawEndpoint a(loop(), streaming(1));
     RawEndpoint b(loop(), streaming(1));
@@ -544,7 +547,7 @@
     LONGS_EQUAL(12, most);
 }
 
-TEST(EntryPromptHome, AnEngineThatTakesAPromptOverIsToldWhoHoldsIt)
+TEST(EntryPromptHome, EngineThatTakesOverAPromptIsToldItsHolder)
 {
     RawEndpoint a(loop(), streaming(1));
     RawEndpoint b(loop(), streaming(1));
@@ -555,7 +558,8 @@
     auto &home = homeIsA ? a : b;
     auto &other = homeIsA ? b : a;
     STRCMP_EQUAL("(none)", home.seen[0].header("Kv-Fetch").c_str());
-    // The home begins to leave: it gets no more work, and can still be asked for what it holds.
+    // The home endpoint starts to leave: it gets no more requests, but the prompt can still be
+    // fetched from it.
     std::map<std::string, Endpoint> listed;
     for (const auto &e : rig.table.endpoints()) {
         Endpoint changed = e;
--- a/tests/test_entry_state.cpp
+++ b/tests/test_entry_state.cpp
@@ -1,6 +1,5 @@
-// What an entry router believes and how that changes: configurations,
-// endpoints and their lapse, outliers, followers of the store; all with the
-// time passed in or on one event loop.
+// Tests of the entry router's state: configurations, endpoints and their expiry, outlier detection,
+// and followers of the store. The time is passed in, or the tests run on one event loop.
 #include "codec.h"
 #include "entry/entry_metrics.h"
 #include "entry/entry_settings.h"
@@ -24,33 +23,33 @@
     entry::OutlierDetector detector;
     std::optional<entry::Ejection> last;
 
-    // Lets each of n endpoints take requests for a while; those below the
-    // first sound one fail with a probability of one in two.
-    int ejectionsOf(int endpoints, int firstSound, int requests)
+    // Sends requests to n endpoints in turn, and returns the number of ejections. The endpoints
+    // before firstSound fail every second request, the others every tenth.
+    int ejectionsOf(int endpoints, int firstHealthy, int requests)
     {
         int ejections = 0;
         for (int i = 0; i < requests; ++i) {
             now += std::chrono::milliseconds(50);
             const int e = i % endpoints;
-            const bool failed = e < firstSound ? (i / endpoints) % 2 == 0 : (i / endpoints) % 10 == 0;
+            const bool failed = e < firstHealthy ? (i / endpoints) % 2 == 0 : (i / endpoints) % 10 == 0;
             if (auto ejection = detector.record("e" + std::to_string(e), failed, static_cast<std::size_t>(endpoints), now)) {
                 last = ejection;
                 ++ejections;
-                CHECK(e < firstSound);
+                CHECK(e < firstHealthy);
             }
         }
         return ejections;
     }
 };
 
-TEST(OutlierDetector, OneThatFailsHalfOfItsRequestsIsPassedBy)
+TEST(OutlierDetector, EndpointThatFailsHalfOfItsRequestsIsEjected)
 {
     CHECK(ejectionsOf(4, 1, 200) > 0);
     CHECK(last->until > now - std::chrono::seconds(8));
     CHECK(last->rate >= 0.35);
 }
 
-TEST(OutlierDetector, WhatFailsEverywhereIsNoEndpointsFault)
+TEST(OutlierDetector, NoEndpointIsEjectedWhenAllFailAlike)
 {
     for (int i = 0; i < 400; ++i) {
         now += std::chrono::milliseconds(20);
@@ -59,7 +58,7 @@
     }
 }
 
-TEST(OutlierDetector, NeverMoreThanAThirdOfAServiceIsPassedBy)
+TEST(OutlierDetector, AtMostAThirdOfAServiceIsEjected)
 {
     int out = 0;
     for (int round = 0; round < 12; ++round) {
@@ -73,7 +72,7 @@
     CHECK(!detector.record("alone", true, 1, now).has_value());
 }
 
-TEST(OutlierDetector, EachNextEjectionIsLongerUntilItIsForgiven)
+TEST(OutlierDetector, EjectionTimeDoublesUntilItIsReset)
 {
     const auto failUntilEjected = [&] {
         for (int i = 0; i < 100; ++i) {
@@ -116,44 +115,44 @@
     }
 };
 
-TEST(EntryPublished, EndpointsThatLapsedInAnOutageAreKeptForAWhile)
+TEST(EntryPublished, EndpointsThatExpiredInAnOutageAreRetained)
 {
     published.replaceEndpoints(listing({"a", "b"}));
     const auto back = Clock::now();
-    published.storeRegained(std::chrono::seconds(8), back);
+    published.onStoreRecovered(std::chrono::seconds(8), back);
     published.replaceEndpoints(listing({"c"}));
     LONGS_EQUAL(3, table.endpoints().size());
-    published.setEndpoint(endpoint("a")); // its entry is back
+    published.setEndpoint(endpoint("a")); // its entry has been written again
     published.publishEndpoints();
     published.dropLapsed(back + std::chrono::milliseconds(100));
     LONGS_EQUAL(3, table.endpoints().size());
 }
 
-TEST(EntryPublished, ThoseStillMissingAfterThatAreGone)
+TEST(EntryPublished, EndpointsMissingAfterTheRetentionAreRemoved)
 {
     published.replaceEndpoints(listing({"a", "b"}));
-    // The outage ended so long ago that the time to keep them is over.
+    // The outage ended so long ago that the retention period is over.
     const auto back = Clock::now() - std::chrono::seconds(5);
-    published.storeRegained(std::chrono::seconds(8), back);
+    published.onStoreRecovered(std::chrono::seconds(8), back);
     published.replaceEndpoints(listing({"a"}));
     LONGS_EQUAL(1, table.endpoints().size());
 }
 
-TEST(EntryPublished, AShortOutageLapsesNobodyAndLeavingIsAlwaysBelieved)
+TEST(EntryPublished, ShortOutageRetainsNoMissingEndpointAndLeavingAppliesAtOnce)
 {
     published.replaceEndpoints(listing({"a", "b"}));
-    published.storeRegained(std::chrono::milliseconds(500), Clock::now());
+    published.onStoreRecovered(std::chrono::milliseconds(500), Clock::now());
     published.removeEndpoint("a");
     published.publishEndpoints();
     LONGS_EQUAL(1, table.endpoints().size());
-    published.storeRegained(std::chrono::seconds(8), Clock::now());
+    published.onStoreRecovered(std::chrono::seconds(8), Clock::now());
     published.setEndpoint(endpoint("b", EndpointState::Leaving));
     published.publishEndpoints();
     LONGS_EQUAL(0, table.endpoints().size());
-    CHECK(table.find("b", Clock::now()).has_value()); // and can still be asked for what it holds
+    CHECK(table.find("b", Clock::now()).has_value()); // a prompt can still be fetched from it
 }
 
-TEST(EntryPublished, EndpointsThatAreListedBeforeTheConfigurationArePlacedByItAsWell)
+TEST(EntryPublished, EndpointsListedBeforeTheConfigurationUseItsPlacement)
 {
     router::TableOptions options;
     options.policy = Policy::Home;
@@ -178,7 +177,7 @@
 
 TEST_GROUP(EntrySettings){};
 
-TEST(EntrySettings, EveryProblemIsReportedWithItsPlace)
+TEST(EntrySettings, EveryProblemIsReportedWithItsPath)
 {
     Findings findings;
     entry::parseSettings(nlohmann::json::parse(R"({"traffic": "nowhere", "retryRatio": 7, "stopGraceS": "long", "colour": "red"})"), findings);
@@ -192,9 +191,8 @@
 namespace
 {
 
-// The template as it stands for a deployment that states everything: the tags
-// of its sections go, what is between them stays. Where nothing of a section
-// is stated, all of it goes.
+// Expands the sections of the template for a deployment that states all values, by removing the
+// section tags, or none of them, by removing the sections with their content.
 std::string withoutSections(std::string text, bool stated)
 {
     for (auto from = text.find("{{#"); from != std::string::npos; from = text.find("{{#")) {
@@ -219,7 +217,7 @@
 
 } // namespace
 
-TEST(EntrySettings, WhatADeploymentDoesNotStateKeepsItsDefault)
+TEST(EntrySettings, UnstatedDeploymentValuesKeepTheirDefaults)
 {
     std::string filled = withoutSections(templateText(), false);
     for (auto at = filled.find("{{"); at != std::string::npos; at = filled.find("{{")) {
@@ -235,7 +233,7 @@
     DOUBLES_EQUAL(entry::Settings().loadFactor, settings.loadFactor, 0);
 }
 
-TEST(EntrySettings, TheDeploymentsTemplateGivesSettingsThatParse)
+TEST(EntrySettings, ExpandedDeploymentTemplateParses)
 {
     std::string filled = withoutSections(templateText(), true);
     const std::vector<std::pair<std::string, std::string>> values{
@@ -288,7 +286,7 @@
 
 TEST_GROUP(EntryMetrics){};
 
-TEST(EntryMetrics, TheTextHasEverySeriesOnceAndCumulativeBuckets)
+TEST(EntryMetrics, TextContainsExpectedSeriesAndCumulativeBuckets)
 {
     entry::Metrics metrics;
     metrics.requestEnded(entry::RequestKind::Stream, entry::RequestEnd::Delivered, 0.4, 0.04);
@@ -306,11 +304,11 @@
     }
 }
 
-TEST_GROUP(EntryLineBudget){};
+TEST_GROUP(EntryLogRateLimiter){};
 
-TEST(EntryLineBudget, SuccessesNeverCrowdOutFailures)
+TEST(EntryLogRateLimiter, SuccessesDoNotUseTheBudgetOfFailures)
 {
-    entry::LineBudget budget(10);
+    entry::LogRateLimiter budget(10);
     const auto now = Clock::now();
     int successes = 0;
     for (int i = 0; i < 100; ++i) {
@@ -322,7 +320,7 @@
 
 TEST_GROUP(PlatformCodec){};
 
-TEST(PlatformCodec, AConfigurationIsReadWholeAndWhatIsUnknownIsLeftAlone)
+TEST(PlatformCodec, ConfigurationWithUnknownKeysIsParsedCompletely)
 {
     auto written = entryConfiguration(12);
     written["news"] = 1;
@@ -338,7 +336,7 @@
     CHECK(parsed->workspaceFor("key-s") && !parsed->workspaceFor("key-s")->priority.has_value());
 }
 
-TEST(PlatformCodec, WhatCannotBeReadIsReportedWithItsPlace)
+TEST(PlatformCodec, MalformedValuesAreReportedWithTheirPath)
 {
     auto written = entryConfiguration(12);
     written["routes"][1]["kind"] = "sometimes";
@@ -353,7 +351,7 @@
     CHECK(!platform::ObjectCodec::endpoint("i-1", nlohmann::json::parse(R"({"service": "s", "address": "here"})"), findings).has_value());
 }
 
-TEST(PlatformCodec, PromptPartsAreReadInOrder)
+TEST(PlatformCodec, PromptPartsAreParsedInOrder)
 {
     const auto parts = platform::parsePromptParts("5c1e07a2:800,91bd3f06:410,e4402b7d:250");
     LONGS_EQUAL(3, parts->size());
@@ -366,7 +364,7 @@
 
 LOOP_GROUP(EntryFollower);
 
-TEST(EntryFollower, ChangesFollowTheListingAndLostHistoryIsListedAgain)
+TEST(EntryFollower, LostHistoryCausesANewListing)
 {
     store::ObjectStore store(2);
     platform::LocalObjectApi api(store);
@@ -377,7 +375,7 @@
     store.put("k", "b", 1, std::nullopt);
     store.put("other", "x", 1, std::nullopt);
     store.remove("k", "a", std::nullopt);
-    CHECK(loop().run(follower.step())); // three changes, two kept: the history is gone
+    CHECK(loop().run(follower.step())); // three changes, of which the store keeps two: the history is lost
     CHECK(loop().run(follower.step()));
     store.put("k", "c", 1, std::nullopt);
     CHECK(loop().run(follower.step()));
@@ -388,7 +386,7 @@
 namespace
 {
 
-// A store whose listings come in pages of two, of which one may fail.
+// A store that returns listings in pages of two entries, one of which may fail.
 class PagedStore : public platform::LocalObjectApi
 {
 public:
@@ -405,8 +403,8 @@
         }
         co_return m_objects.list(kind, after, 2);
     }
-    std::vector<std::string> asked; ///< the names after which pages were asked for
-    int failing = 0; ///< which call fails; 0: none
+    std::vector<std::string> asked; ///< for each page requested, the name after which it starts
+    int failing = 0; ///< number of the call that fails; 0: none
 
 private:
     store::ObjectStore &m_objects;
@@ -414,9 +412,9 @@
 
 } // namespace
 
-// 300 routers that list 2,999 endpoints at once share the store's link: a page
-// that comes too late must not cost those before it.
-TEST(EntryFollower, AListingGoesOnAtThePageThatFailed)
+// Guards against listings that never complete: many routers that list a large fleet at once share
+// the store's link, and a page that times out must not discard the pages before it.
+TEST(EntryFollower, ListingResumesAtThePageThatFailed)
 {
     store::ObjectStore store;
     PagedStore api(store);
@@ -427,7 +425,7 @@
     RecordingSink sink;
     Follower<RecordingSink> follower(api, "k", sink);
     CHECK(!loop().run(follower.step()));
-    store.put("k", "a", 2, std::nullopt); // changed behind the first page's back
+    store.put("k", "a", 2, std::nullopt); // changes after the first page was read
     CHECK(loop().run(follower.step()));
     const std::vector<std::string> pages{"", "b", "d", "d"};
     CHECK(api.asked == pages);
@@ -436,7 +434,7 @@
     CHECK(sink.news == expected);
 }
 
-TEST(EntryFollower, EndpointsOfTheFirstPageAreUsedUntilTheRestIsThere)
+TEST(EntryFollower, EndpointsOfFirstPagesAreUsedBeforeTheListingIsComplete)
 {
     store::ObjectStore store;
     PagedStore api(store);
@@ -459,7 +457,7 @@
     LONGS_EQUAL(5, published.endpointCount());
 }
 
-TEST(EntryFollower, AfterAnOutageItGoesOnWhereItWas)
+TEST(EntryFollower, FollowerContinuesAfterAnOutage)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
@@ -478,8 +476,7 @@
 namespace
 {
 
-// A store whose watches wait until they are cancelled, as they do when their
-// answers are lost.
+// A store whose watches wait until they are cancelled, as they do when their responses are lost.
 class SilentWatches : public platform::LocalObjectApi
 {
 public:
@@ -488,7 +485,7 @@
                                              http::Cancellation *cancellation) override
     {
         ++watches;
-        co_await sleepFor(Millis(1)); // a watch without news waits; the test's loop must go on
+        co_await sleepFor(Millis(1)); // lets the test's event loop go on while a watch has no changes
         while (silent && !cancellation->fired()) {
             co_await sleepFor(Millis(1));
         }
@@ -503,7 +500,7 @@
 
 } // namespace
 
-TEST(EntryFollower, AWatchThatWasLostInAnOutageIsStartedAnewOnceTheStoreAnswers)
+TEST(EntryFollower, WatchLostInAnOutageIsRestartedWhenTheStoreAnswers)
 {
     store::ObjectStore store;
     SilentWatches api(store);
@@ -516,10 +513,10 @@
     loop().until([&] {
         return api.watches == 1;
     });
-    api.outage = true; // for long enough that a question goes unanswered
+    api.outage = true; // long enough for a poll to fail
     const auto asked = Clock::now();
     loop().until([&] {
-        return Clock::now() - asked > entry::askEvery + entry::askAgainAfter;
+        return Clock::now() - asked > entry::storePollInterval + entry::storeRetryInterval;
     });
     store.put("config", "main", entryConfiguration(2), std::nullopt);
     api.outage = false;
@@ -534,15 +531,15 @@
     });
 }
 
-TEST(EntryFollower, AWatchThatHearsNothingIsGivenUpBeforeAChangeIsTooLate)
+TEST(EntryFollower, SilentWatchTimesOutBeforeAChangeIsTooLate)
 {
-    // Longer waits left a version out of force for 5 s after the store had
-    // dropped its history without ending the watches that waited.
+    // With longer waits, a new configuration stayed out of force for seconds after the store had
+    // dropped its history without ending the watches.
     const FollowerOptions options;
     CHECK(options.watchWait + platform::watchMargin < std::chrono::seconds(3));
 }
 
-TEST(EntryFollower, ThePauseAfterAFailedCallEndsWhenItIsToldThatTheStoreAnswers)
+TEST(EntryFollower, RestartWatchEndsThePauseAfterAFailedCall)
 {
     store::ObjectStore store;
     SilentWatches api(store);
@@ -558,7 +555,7 @@
     loop().start(ranToItsEnd(follower), ended);
     std::optional<bool> waited;
     loop().run(passed(Millis(50)));
-    LONGS_EQUAL(1, api.watches); // and no other until it is told
+    LONGS_EQUAL(1, api.watches); // no further watch before the follower is notified
     api.outage = false;
     store.put("k", "a", 1, std::nullopt);
     follower.restartWatch();
@@ -575,7 +572,7 @@
     CHECK(ended.has_value());
 }
 
-TEST(EntryFollower, InCalmTimesWatchesMayLagAndAreCheckedNowAndThen)
+TEST(EntryFollower, WatchesMayLagWithoutTroubleAndAreCheckedPeriodically)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
@@ -598,9 +595,9 @@
     LONGS_EQUAL(1, api.currentWatches);
 }
 
-TEST(EntryFollower, AReplicaThatLagsIsNotBelievedOnceAnAnswerIsNewer)
+TEST(EntryFollower, LaggingReplicaIsNotUsedAfterANewerResponse)
 {
-    // Two kinds of one store: news of the one tell that the other's replica is behind.
+    // Two kinds of one store: changes of one show that the replica of the other lags.
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
     RecordingSink sink;
@@ -616,14 +613,14 @@
     CHECK(loop().run(first.step()));
     api.replicaAt = before;
     store.put("other", "b", 1, std::nullopt);
-    CHECK(loop().run(second.step())); // answered from the past: nothing new, and listing again would not help
+    CHECK(loop().run(second.step())); // answered from an old state: there is nothing new, and another listing would not help
     CHECK(loop().run(second.step())); // a current watch
     const std::vector<std::string> expected{"listed 0", "listed 0", "set a", "set b"};
     CHECK(sink.news == expected);
     LONGS_EQUAL(1, api.currentWatches);
 }
 
-TEST(EntryFollower, AfterTroubleWithTheStoreEveryWatchIsACurrentOne)
+TEST(EntryFollower, EveryWatchIsCurrentAfterStoreTrouble)
 {
     store::ObjectStore store(1);
     platform::LocalObjectApi api(store);
@@ -635,46 +632,47 @@
     CHECK(loop().run(follower.step()));
     store.put("k", "a", 1, std::nullopt);
     store.put("k", "b", 1, std::nullopt);
-    CHECK(loop().run(follower.step())); // the history is gone
+    CHECK(loop().run(follower.step())); // the history is lost
     LONGS_EQUAL(0, api.currentWatches);
-    CHECK(loop().run(follower.step())); // listed
+    CHECK(loop().run(follower.step())); // a listing
     CHECK(loop().run(follower.step()));
     LONGS_EQUAL(1, api.currentWatches);
 }
 
-TEST(EntryFollower, NewsThatWaitedForACurrentWatchSpeakAgainstTheReplicas)
+TEST(EntryFollower, ChangesPendingAtACurrentWatchIndicateALaggingReplica)
 {
     ReadPolicy reads;
     const Clock::time_point now{std::chrono::hours(1)};
     CHECK(reads.choose(now, now) == platform::Freshness::MayLag);
-    reads.answered(platform::Freshness::Current, 5, true, now, now + Millis(500)); // news that came while it waited
+    reads.answered(platform::Freshness::Current, 5, true, now, now + Millis(500)); // the changes came while the watch waited
     CHECK(reads.choose(now, now + Millis(500)) == platform::Freshness::MayLag);
     reads.answered(platform::Freshness::Current, 6, true, now, now + Millis(5));
     CHECK(reads.choose(now, now + Millis(500)) == platform::Freshness::Current);
 }
 
-TEST(EntryFollower, NewsThatWaitedAreAWeakSignAndNoneAfterACurrentAnswer)
+TEST(EntryFollower, PendingChangesAreAWeakSignAndNoneAfterACurrentResponse)
 {
     using platform::Freshness;
     ReadPolicy reads;
     const Clock::time_point now{std::chrono::hours(1)};
-    // Current watches follow each other while many endpoints change: no replica was asked in between.
+    // Current watches follow each other while many endpoints change; no replica was asked in
+    // between.
     reads.answered(Freshness::Current, 6, true, now, now + Millis(5), Freshness::Current);
     CHECK(reads.choose(now, now) == Freshness::MayLag);
     reads.answered(Freshness::Current, 7, true, now, now + Millis(5), Freshness::MayLag);
     CHECK(reads.choose(now, now + Millis(2000)) == Freshness::Current);
     CHECK(reads.choose(now, now + Millis(3000)) == Freshness::MayLag);
-    // A replica that is behind the newest known revision is a strong one.
+    // A replica that is behind the newest known revision is a strong sign.
     reads.answered(Freshness::MayLag, 6, false, now + Millis(3000), now + Millis(3005));
     CHECK(reads.choose(now + Millis(20000), now + Millis(20000)) == Freshness::Current);
     reads.answered(Freshness::Current, 9, true, now + Millis(3000), now + Millis(3005), Freshness::MayLag);
-    CHECK(reads.choose(now + Millis(20000), now + Millis(20000)) == Freshness::Current); // a weak sign does not shorten it
+    CHECK(reads.choose(now + Millis(20000), now + Millis(20000)) == Freshness::Current); // a weak sign does not shorten the period
 }
 
 namespace
 {
 
-// A store where something changes as soon as a watch is asked for, and counts the watches.
+// A store in which an object changes whenever a watch starts; it counts the watches.
 class BusyStore : public platform::LocalObjectApi
 {
 public:
@@ -697,13 +695,13 @@
 
 } // namespace
 
-TEST(EntryFollower, ChangesThatFollowEachOtherComeInOneAnswer)
+TEST(EntryFollower, SuccessiveChangesArriveInOneResponse)
 {
     store::ObjectStore store;
     BusyStore api(store);
     RecordingSink sink;
     FollowerOptions options;
-    options.afterNews = Millis(60000); // only a restart ends it here
+    options.afterNews = Millis(60000); // only a restart ends the pause in this test
     Follower<RecordingSink> follower(api, "k", sink, options);
     std::optional<bool> ended;
     loop().start(ranToItsEnd(follower), ended);
@@ -715,8 +713,8 @@
     loop().until([&] {
         return waited.has_value();
     });
-    LONGS_EQUAL(1, api.watches); // it would have been asked without end
-    follower.restartWatch(); // the store came back: it is asked at once
+    LONGS_EQUAL(1, api.watches); // without the pause, the store would be asked continuously
+    follower.restartWatch(); // the store is available again: it is asked at once
     loop().until([&] {
         return api.watches == 2;
     });
@@ -728,22 +726,22 @@
 
 LOOP_GROUP(EntryHealth);
 
-TEST(EntryHealth, AnEndpointThatFailsPartOfItsRequestsGetsLittleWork)
+TEST(EntryHealth, EndpointThatFailsHalfOfItsRequestsGetsFewRequests)
 {
     int asked = 0;
-    RawEndpoint grey(loop(), [&](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
+    RawEndpoint failingHalf(loop(), [&](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
         const std::string status = ++asked % 2 == 0 ? "200 OK" : "500 Internal Server Error";
         co_await sendBytes(socket, signedAnswer(request.header("Yuccasaddle-Attempt-Id"), "x", status));
     });
-    const RawEndpoint::Script sound = [](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
+    const RawEndpoint::Script healthy = [](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
         co_await sendBytes(socket, signedAnswer(request.header("Yuccasaddle-Attempt-Id"), "x"));
     };
-    RawEndpoint a(loop(), sound);
-    RawEndpoint b(loop(), sound);
-    EntryRig rig(loop(), {{"grey", {"s", grey.port}}, {"a", {"s", a.port}}, {"b", {"s", b.port}}});
+    RawEndpoint a(loop(), healthy);
+    RawEndpoint b(loop(), healthy);
+    EntryRig rig(loop(), {{"grey", {"s", failingHalf.port}}, {"a", {"s", a.port}}, {"b", {"s", b.port}}});
     for (int i = 0; i < 120; ++i) {
         rig.reply("POST", "/book/1", "a" + std::to_string(i));
     }
-    CHECK(grey.seen.size() < 25); // a third would be 40
-    CHECK(grey.seen.size() >= 4);
+    CHECK(failingHalf.seen.size() < 25); // an equal share would be 40
+    CHECK(failingHalf.seen.size() >= 4);
 }
--- a/tests/test_evacuation.cpp
+++ b/tests/test_evacuation.cpp
@@ -1,8 +1,8 @@
-// Operators evacuate a failure domain, and its endpoints come back cold: what
-// several routers, each on its own, let through to them.
+// Tests of evacuated failure domains, and of the limits on requests to cold endpoints after their
+// return, which several routers enforce independently.
 #include "control_rig.h"
 
-// CppUTest goes last: its memory-leak macros redefine operator new.
+// CppUTest must be included last: its memory-leak macros redefine operator new.
 #include "loop_group.h"
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 
 LOOP_GROUP(Evacuation);
 
-TEST(Evacuation, ARouterThatStartsSendsNothingBeforeItKnowsTheOrders)
+TEST(Evacuation, RouterIsNotReadyBeforeItKnowsTheEvacuationOrders)
 {
     ControlRig rig;
     rig.store.put(evacuations, "north", nlohmann::json::object(), std::nullopt);
@@ -30,7 +30,7 @@
     CHECK((rig.takers() == std::set<std::string>{"i-south"}));
 }
 
-TEST(Evacuation, OrdersAreFollowedTakenBackAndGivenAgain)
+TEST(Evacuation, EvacuationOrdersCanBeWithdrawnAndRepeated)
 {
     ControlRig rig;
     rig.start(loop());
@@ -51,7 +51,7 @@
     CHECK(rig.takers() == both);
 }
 
-TEST(Evacuation, AnOrderThatCannotBeReadIsAnOrderAndOneForAnUnknownDomainChangesNothing)
+TEST(Evacuation, MalformedOrderAppliesAndOrderForUnknownDomainHasNoEffect)
 {
     ControlRig rig;
     rig.store.put(evacuations, "north", nlohmann::json(), std::nullopt);
@@ -61,7 +61,7 @@
     CHECK((rig.takers() == std::set<std::string>{"i-south"}));
 }
 
-TEST(Evacuation, WhileTheStoreIsAwayTheLastOrdersHoldAndWhatChangedMeanwhileFollows)
+TEST(Evacuation, LastOrdersApplyDuringAStoreOutageAndChangesFollow)
 {
     ControlRig rig;
     rig.store.put(evacuations, "north", nlohmann::json::object(), std::nullopt);
@@ -72,7 +72,7 @@
     CHECK((rig.takers() == std::set<std::string>{"i-south"}));
     rig.store.remove(evacuations, "north", std::nullopt);
     rig.store.put(evacuations, "south", nlohmann::json::object(), std::nullopt);
-    rig.store.compact(); // its history is gone as well
+    rig.store.compact(); // the history of its changes is lost as well
     rig.api.outage = false;
     CHECK(loop().run(rig.control.stepEvacuations()));
     CHECK(loop().run(rig.control.stepEvacuations()));
@@ -87,7 +87,7 @@
     co_await sendBytes(socket, signedAnswer(request.header("Yuccasaddle-Attempt-Id"), "ok"));
 }
 
-// Lists endpoints of a service, each in a failure domain, at a router.
+// Lists endpoints of a service at a router; places maps ids to failure domain and port.
 void listIn(EntryRig &rig, const std::string &service, const std::map<std::string, std::pair<std::string, uint16_t>> &places)
 {
     std::map<std::string, Endpoint> listed;
@@ -101,7 +101,7 @@
 
 } // namespace
 
-TEST(Evacuation, KeptConnectionsAndSecondAttemptsObeyIt)
+TEST(Evacuation, EvacuationAppliesToKeepAliveConnectionsAndRetries)
 {
     RawEndpoint north(loop(), answerOk);
     RawEndpoint south(loop(), [](tcp::socket &socket, const SeenRequest &) -> Task<void> {
@@ -118,12 +118,12 @@
     rig.published.setEvacuated("north", true);
     for (int n = 0; n < 8; ++n) {
         const auto reply = rig.reply("GET", "/remind/1", "after-" + std::to_string(n));
-        CHECK(reply.status != 200); // the other endpoint breaks all it gets
+        CHECK(reply.status != 200); // the only other endpoint resets every connection
     }
     LONGS_EQUAL(before, north.seen.size());
 }
 
-TEST(Evacuation, AStreamInFlightEndsAsItIs)
+TEST(Evacuation, StreamInFlightCompletesAfterEvacuation)
 {
     RawEndpoint north(loop(), [](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
         co_await sendBytes(socket, streamHead(request.header("Yuccasaddle-Attempt-Id")));
@@ -149,7 +149,7 @@
     CHECK(reply && reply->status == 200 && reply->body.find("token10") != std::string::npos);
 }
 
-TEST(Evacuation, WithNothingLeftACallerIsToldAtOnceThatItDidNotRun)
+TEST(Evacuation, RequestIsRejectedAtOnceWhenAllDomainsAreEvacuated)
 {
     RawEndpoint north(loop(), answerOk);
     EntryRig rig(loop(), {});
@@ -171,7 +171,7 @@
 constexpr double coldPerSecond = 8.9;
 constexpr double boundPerSecond = coldPerSecond * 1.5 + 5;
 
-/// An endpoint that notes when requests arrive, and a fleet of routers before it.
+/// An endpoint that records the arrival times of requests, and a number of routers in front of it.
 class ColdFleet
 {
 public:
@@ -194,8 +194,8 @@
     {
         return *m_routers[n];
     }
-    // All routers know each other.
-    void introduce()
+    // Makes all routers known to each other.
+    void connectRouters()
     {
         for (std::size_t n = 0; n < m_routers.size(); ++n) {
             std::vector<std::string> others;
@@ -213,12 +213,12 @@
             router->table.noteCold("n", Clock::now() + std::chrono::seconds(10));
         }
     }
-    // Each router gets requests one after the other for a while.
-    void load(Millis lasts)
+    // Sends consecutive requests to each router for the given time.
+    void load(Millis duration)
     {
         std::vector<std::optional<bool>> done(m_routers.size());
         for (std::size_t n = 0; n < m_routers.size(); ++n) {
-            m_loop.start(callUntil(*m_routers[n], "r" + std::to_string(n), Clock::now() + lasts), done[n]);
+            m_loop.start(callUntil(*m_routers[n], "r" + std::to_string(n), Clock::now() + duration), done[n]);
         }
         m_loop.until([&] {
             return std::all_of(done.begin(), done.end(), [](const auto &d) {
@@ -226,7 +226,7 @@
             });
         });
     }
-    std::size_t mostInOneSecond() const
+    std::size_t maxInOneSecond() const
     {
         std::size_t most = 0;
         for (auto first = m_arrivals.begin(); first != m_arrivals.end(); ++first) {
@@ -261,22 +261,22 @@
 
 LOOP_GROUP(ColdEndpoint);
 
-TEST(ColdEndpoint, RoutersThatKnowEachOtherKeepTheBoundTogetherAndServeWhatItBears)
+TEST(ColdEndpoint, ConnectedRoutersStayWithinTheColdLimitAndUseMostOfIt)
 {
     ColdFleet fleet(loop(), 4);
-    fleet.introduce();
+    fleet.connectRouters();
     fleet.becomeCold();
     fleet.load(Millis(2200));
-    CHECK(static_cast<double>(fleet.mostInOneSecond()) <= boundPerSecond);
-    CHECK(fleet.mostInOneSecond() >= 6); // of the 8.9 that it bears
+    CHECK(static_cast<double>(fleet.maxInOneSecond()) <= boundPerSecond);
+    CHECK(fleet.maxInOneSecond() >= 6); // of the 8.9 requests that it can handle
     CHECK(fleet.refused > 0);
 }
 
-TEST(ColdEndpoint, ARouterThatHasJustStartedSendsItNothing)
+TEST(ColdEndpoint, RouterThatJustStartedSendsNothingToAColdEndpoint)
 {
     ColdFleet fleet(loop(), 1);
     fleet.becomeCold();
     fleet.load(Millis(200));
-    LONGS_EQUAL(0, fleet.mostInOneSecond());
+    LONGS_EQUAL(0, fleet.maxInOneSecond());
     CHECK(fleet.refused > 0);
 }
--- a/tests/test_incarnation.cpp
+++ b/tests/test_incarnation.cpp
@@ -1,5 +1,5 @@
-// An endpoint that starts again under its id: it holds and knows nothing of
-// before, so nothing that was learnt of its earlier incarnation may count.
+// Tests of endpoints that restart under the same id. A restarted endpoint holds no state, so
+// nothing that was learned of its earlier incarnation may apply to it.
 #include "entry_rig.h"
 
 #include "loop_group.h"
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr int64_t firstStart = 1796260000000; // Unix ms
+constexpr int64_t firstStart = 1796260000000; // Unix time in ms
 constexpr int64_t secondStart = firstStart + 5000;
 
 Endpoint engine(const std::string &id, uint16_t port, int64_t born)
@@ -54,7 +54,7 @@
     }
 };
 
-TEST(Incarnation, LoadsOfBeforeAreForgotten)
+TEST(Incarnation, LoadReportsAreDiscardedAtARestart)
 {
     list(firstStart);
     table.reported("a", 40, now);
@@ -68,7 +68,7 @@
     LONGS_EQUAL(1, table.restarts());
 }
 
-TEST(Incarnation, WhatAPeerHeardOfTheEarlierOneIsLeftOut)
+TEST(Incarnation, PeerReportOnTheEarlierIncarnationIsIgnored)
 {
     list(firstStart);
     const auto heardAt = now;
@@ -77,11 +77,11 @@
     table.reported("b", 5, now);
     table.toldOf({"a", 40, heardAt});
     STRCMP_EQUAL("a", chosen().c_str());
-    table.toldOf({"a", 40, now}); // of this one
+    table.toldOf({"a", 40, now}); // a report on the current incarnation
     STRCMP_EQUAL("b", chosen().c_str());
 }
 
-TEST(Incarnation, EjectionAndSuspicionEndWithIt)
+TEST(Incarnation, EjectionAndSuspicionEndAtARestart)
 {
     list(firstStart);
     table.eject("a", now + std::chrono::seconds(8));
@@ -92,7 +92,7 @@
     STRCMP_EQUAL("a", chosen().c_str());
 }
 
-TEST(Incarnation, ARequestOfBeforeDoesNotCountOutOfFlightHere)
+TEST(Incarnation, RequestOfTheEarlierIncarnationDoesNotChangeInflightCount)
 {
     list(firstStart);
     table.reported("b", 50, now);
@@ -109,18 +109,18 @@
     CHECK(table.isCurrent(*after));
 }
 
-TEST(Incarnation, ItIsNoHolderOfAPromptThatTheEarlierOneRead)
+TEST(Incarnation, RestartedEndpointIsNotAHolderOfEarlierPrompts)
 {
     list(firstStart);
     const auto a = engine("a", 1, firstStart);
     const auto b = engine("b", 2, firstStart);
-    const uint64_t prompt = promptWithHome("b"); // nobody would ask "a" for it
+    const uint64_t prompt = promptWithHome("b"); // so that no other endpoint would be asked to fetch it from "a"
     table.tookPrompt(prompt, a, now);
     STRCMP_EQUAL("a", table.beliefOf(prompt, b, now).source->id.c_str());
     now += std::chrono::seconds(1);
     list(secondStart);
     CHECK(!table.beliefOf(prompt, b, now).source.has_value());
-    table.tookPrompt(prompt, a, now); // an answer of before that comes late
+    table.tookPrompt(prompt, a, now); // a late response of the earlier incarnation
     CHECK(!table.beliefOf(prompt, b, now).source.has_value());
 }
 
@@ -129,9 +129,9 @@
 namespace
 {
 
-// Sends events up to a last one and then nothing more, without closing: an
-// engine that went dark.
-RawEndpoint::Script goingDark(int last)
+// Sends events up to the one numbered last, then nothing more, and keeps the connection open: a
+// hung engine.
+RawEndpoint::Script hanging(int last)
 {
     return [=](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
         co_await sendBytes(socket, streamHead(request.header("Yuccasaddle-Attempt-Id")));
@@ -144,7 +144,7 @@
     };
 }
 
-RawEndpoint::Script goingOn(int last)
+RawEndpoint::Script streaming(int last)
 {
     return [=](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
         const std::string resume = request.header("Last-Event-Id");
@@ -167,32 +167,32 @@
 
 } // namespace
 
-TEST(IncarnationTraffic, AStreamOfAnEngineThatWentDarkGoesOnElsewhereOnceItHasStartedAgain)
+TEST(IncarnationTraffic, StreamOfAHungEngineResumesElsewhereAfterItsRestart)
 {
-    RawEndpoint dark(loop(), goingDark(2));
-    RawEndpoint sound(loop(), goingOn(4));
+    RawEndpoint hung(loop(), hanging(2));
+    RawEndpoint healthy(loop(), streaming(4));
     EntryRig rig(loop(), {});
-    rig.published.replaceEndpoints({{"a", engine("a", dark.port, firstStart)}});
+    rig.published.replaceEndpoints({{"a", engine("a", hung.port, firstStart)}});
     std::optional<http::CallResult<http::Reply>> result;
     asio::co_spawn(loop().io, rig.send("POST", "/chat/1", EntryRig::caller("q1"), ""), [&](std::exception_ptr, http::CallResult<http::Reply> r) {
         result = std::move(r);
     });
     loop().until([&] {
-        return !dark.seen.empty();
+        return !hung.seen.empty();
     });
-    rig.published.replaceEndpoints({{"a", engine("a", dark.port, secondStart)}, {"b", engine("b", sound.port, firstStart)}});
-    rig.gateway.endAttemptsAtRestarted();
+    rig.published.replaceEndpoints({{"a", engine("a", hung.port, secondStart)}, {"b", engine("b", healthy.port, firstStart)}});
+    rig.gateway.cancelAttemptsAtRestarted();
     loop().until([&] {
         return result.has_value();
     });
     CHECK(std::holds_alternative<http::Reply>(*result));
     STRCMP_EQUAL(eventsUpTo(4).c_str(), std::get<http::Reply>(*result).body.c_str());
-    LONGS_EQUAL(1, sound.seen.size());
+    LONGS_EQUAL(1, healthy.seen.size());
 }
 
-TEST(IncarnationTraffic, ItsKeptConnectionsAreNotUsedAgain)
+TEST(IncarnationTraffic, KeepAliveConnectionsOfTheEarlierIncarnationAreNotReused)
 {
-    RawEndpoint a(loop(), goingOn(1));
+    RawEndpoint a(loop(), streaming(1));
     EntryRig rig(loop(), {});
     rig.published.replaceEndpoints({{"a", engine("a", a.port, firstStart)}});
     rig.reply("POST", "/chat/1", "q1");
