--- a/src/change_exchange.cpp
+++ b/src/change_exchange.cpp
@@ -11,23 +11,23 @@
 {
 
 constexpr std::string_view changesPath = "/changes/";
-constexpr unsigned busy = 503;
+constexpr unsigned statusBusy = 503;
 
-// Counts an answer for as long as it is being sent.
-class Answering
+// Counts an answer while it is being sent.
+class ScopedCounter
 {
 public:
-    explicit Answering(int &count)
+    explicit ScopedCounter(int &count)
         : m_count(count)
     {
         ++m_count;
     }
-    ~Answering()
+    ~ScopedCounter()
     {
         --m_count;
     }
-    Answering(const Answering &) = delete;
-    Answering &operator=(const Answering &) = delete;
+    ScopedCounter(const ScopedCounter &) = delete;
+    ScopedCounter &operator=(const ScopedCounter &) = delete;
 
 private:
     int &m_count;
@@ -45,7 +45,7 @@
 
 } // namespace
 
-ChangeServer::ChangeServer(std::vector<SharedReplica *> replicas, HandOnOptions options)
+ChangeServer::ChangeServer(std::vector<SharedReplica *> replicas, ChangeExchangeOptions options)
     : m_replicas(std::move(replicas))
     , m_options(options)
 {
@@ -63,30 +63,30 @@
         co_await ex.reply(404, "no such kind\n", {}, "text/plain");
         co_return;
     }
-    const auto handOn = ex.query("whole") == "1" ? HandOn::Whole : HandOn::Small;
-    int &answering = handOn == HandOn::Whole ? m_answeringWhole : m_answering;
-    if (answering >= (handOn == HandOn::Whole ? m_options.mostWholeAtOnce : m_options.mostAtOnce)) {
-        co_await ex.reply(busy, "busy\n", {}, "text/plain");
+    const auto limit = ex.query("whole") == "1" ? TransferLimit::Large : TransferLimit::Regular;
+    int &activeAnswers = limit == TransferLimit::Large ? m_activeLargeAnswers : m_activeAnswers;
+    if (activeAnswers >= (limit == TransferLimit::Large ? m_options.maxConcurrentLarge : m_options.maxConcurrent)) {
+        co_await ex.reply(statusBusy, "busy\n", {}, "text/plain");
         co_return;
     }
-    const auto changes = (*replica)->changesSince({*epoch, *since}, handOn);
+    const auto changes = (*replica)->changesSince({*epoch, *since}, limit);
     if (const auto *error = std::get_if<Error>(&changes)) {
         co_await ex.reply(static_cast<unsigned>(error->code), error->message + "\n", {}, "text/plain");
         co_return;
     }
     std::string body = textOf(encode(std::get<Changes>(changes)));
-    const Answering place(answering);
+    const ScopedCounter counter(activeAnswers);
     co_await ex.reply(200, std::move(body), {}, "application/cbor");
 }
 
-Task<Result<Changes>> ChangeClient::fetch(http::Address from, std::string kind, Position since, HandOn handOn)
+Task<Result<Changes>> ChangeClient::fetch(http::Address from, std::string kind, Position since, TransferLimit limit)
 {
     http::CallOptions options;
-    options.deadline = Clock::now() + (handOn == HandOn::Whole ? m_options.fetchWholeTimeout : m_options.fetchTimeout);
+    options.deadline = Clock::now() + (limit == TransferLimit::Large ? m_options.fetchLargeTimeout : m_options.fetchTimeout);
     options.connectTimeout = m_options.connectTimeout;
     options.reuse = http::Reuse::KeptOrAgain;
     const std::string target = std::string(changesPath) + kind + "?since=" + std::to_string(since.revision) + "&epoch=" + std::to_string(since.epoch)
-        + (handOn == HandOn::Whole ? "&whole=1" : "");
+        + (limit == TransferLimit::Large ? "&whole=1" : "");
     auto request = http::makeRequest("GET", target);
     auto called = co_await m_client.call(from, std::move(request), options);
     if (const auto *error = std::get_if<http::CallError>(&called)) {
--- a/src/change_exchange.h
+++ b/src/change_exchange.h
@@ -1,5 +1,4 @@
-// Routers hand changes of the store's objects on to each other over HTTP: who
-// hears of something newer gets it from the router that told of it.
+// Transfers changes of the store's objects between routers over HTTP: a router fetches a newer state from the peer that announced it.
 #pragma once
 
 #include "http_client.h"
@@ -11,47 +10,46 @@
 namespace yucca::replica
 {
 
-/// Bounds of what one router hands on at a time.
-struct HandOnOptions {
-    /// Answers being sent at once. A round of datagrams tells eight routers of
-    /// a change; who finds all places taken asks the store.
-    int mostAtOnce = 12;
-    /// Of these, answers to routers that the store turns away. A configuration
-    /// of 400 KB is 0.16 s of a link of 20 Mbit/s.
-    int mostWholeAtOnce = 2;
-    Millis fetchTimeout{400}; ///< a neighbour answers in 1 ms; the store is asked next, still within the bound of a change
-    Millis fetchWholeTimeout{2000}; ///< nobody else has it
+/// Limits of the transfers.
+struct ChangeExchangeOptions {
+    /// Answers sent at once. A round of datagrams announces a change to eight routers; a router that is refused queries the store.
+    int maxConcurrent = 12;
+    /// Large answers sent at once, in addition to the regular ones; they go to routers that the store refuses. A configuration of
+    /// 400 KB takes 0.16 s on a link of 20 Mbit/s.
+    int maxConcurrentLarge = 2;
+    Millis fetchTimeout{400}; ///< a neighbour answers in 1 ms; a query to the store after this timeout still meets the bound of a change
+    Millis fetchLargeTimeout{2000}; ///< longer, because the store refuses this router and no other source is left
     Millis connectTimeout{200};
 };
 
-/// Answers other routers' questions for changes.
+/// Answers other routers' requests for changes.
 class ChangeServer
 {
 public:
-    explicit ChangeServer(std::vector<SharedReplica *> replicas, HandOnOptions options = {});
-    /// Answers one request: GET /changes/KIND?since=REVISION&epoch=EPOCH, with &whole=1 of a
-    /// router that the store turns away.
+    explicit ChangeServer(std::vector<SharedReplica *> replicas, ChangeExchangeOptions options = {});
+    /// Answers one request: GET /changes/KIND?since=REVISION&epoch=EPOCH, with &whole=1 from a router that the store refuses. Replies
+    /// 404 for an unknown kind or a malformed query, 503 if too many answers are being sent, and the codes of SharedReplica::changesSince().
     Task<void> answer(http::Exchange &ex);
 
 private:
     std::vector<SharedReplica *> m_replicas;
-    HandOnOptions m_options;
-    int m_answering = 0;
-    int m_answeringWhole = 0;
+    ChangeExchangeOptions m_options;
+    int m_activeAnswers = 0;
+    int m_activeLargeAnswers = 0;
 };
 
-/// Asks other routers for changes.
+/// Requests changes from other routers.
 class ChangeClient : public ChangeSource
 {
 public:
-    explicit ChangeClient(HandOnOptions options = {})
+    explicit ChangeClient(ChangeExchangeOptions options = {})
         : m_options(options)
     {
     }
-    Task<Result<Changes>> fetch(http::Address from, std::string kind, Position since, HandOn handOn) override;
+    Task<Result<Changes>> fetch(http::Address from, std::string kind, Position since, TransferLimit limit) override;
 
 private:
-    HandOnOptions m_options;
+    ChangeExchangeOptions m_options;
     http::Client m_client;
 };
 
--- a/src/follower.h
+++ b/src/follower.h
@@ -1,7 +1,6 @@
-// Keeps up with one kind of objects in the store: a listing, then one watch
-// after the other, through outages, lost history and silent connections. Where
-// other routers are heard, they ask for each other: a watch is made only when
-// no confirmation is fresh, and changes come from whoever has them.
+// Follows one kind of objects in the store: one listing, then successive watches. The follower recovers from outages, dropped
+// history and hanging connections. Routers that hear each other share the work: a router watches the store only when no recent
+// confirmation of its state is known, and fetches changes from the peer that announced them.
 #pragma once
 
 #include "log.h"
@@ -21,57 +20,53 @@
 namespace yucca
 {
 
-/// What takes a follower's news, all on the control thread.
+/// The receiver of a follower's updates. All calls are made on the control thread.
 template <typename S>
 concept FollowerSink = requires(S s, const platform::Listing &listing, platform::Freshness freshness, const platform::Object &object, bool deleted,
                                 Clock::duration away)
 {
     s.listed(listing, freshness);
-    s.listedSoFar(listing); // the first pages of a start's listing
+    s.listedSoFar(listing); // the pages read so far of the first listing
     s.changed(object, deleted);
     s.batchEnded();
-    s.regained(away); // before the first news after an outage
-    s.restored(); // before the first listing after the store returned from an older copy
+    s.regained(away); // called before the first update after an outage
+    s.restored(); // called before the first listing after the store was restored from an older copy
 };
 
-/// How a follower waits.
+/// Intervals, delays and collaborators of a Follower.
 struct FollowerOptions {
-    /// One watch's wait. Short: a store that drops its history may leave a
-    /// watch without a word, and only its wait's passing shows that. A change
-    /// is to be in force three seconds after such an event at the latest.
+    /// Timeout of one watch. It is short because a store that drops its history may leave a watch unanswered, and only the timeout
+    /// reveals that. A change must be in force at most 3 s after such an event.
     Millis watchWait{2000};
-    Millis firstPause{100}; ///< after a failed call; doubled by each next, up to:
-    /// Each call is priced, those to a store that is away too. Whoever learns
-    /// sooner that it answers again calls restartWatch().
+    Millis firstPause{100}; ///< delay after a failed call; each further failure doubles it, up to longestPause
+    /// Upper limit of the delay. Every call has a price, also calls to an unreachable store. A caller that learns earlier that the
+    /// store is back calls restartWatch().
     Millis longestPause{1600};
-    /// Between news and the next watch: what changes meanwhile comes in one
-    /// answer. Each call is priced, and where endpoints come and go in numbers
-    /// every change would wake every router's watch. Far below the 2 s in which
-    /// a change is to be in force.
+    /// Delay between received changes and the next watch, so that one answer carries all changes made meanwhile. Every call has a
+    /// price, and while many endpoints join and leave, each change would wake the watch of every router. The delay is far below the
+    /// 2 s within which a change must be in force.
     Millis afterNews{300};
-    ReadPolicy *reads = nullptr; ///< of the store; null: every watch is a current one
-    replica::SharedReplica *shared = nullptr; ///< with other routers; null: this router follows alone
-    /// A start's listing that may lag is confirmed by an own watch after this
-    /// time, unless others do it. By then routers that started together hear
-    /// each other; a router counts as in touch 3 s after its start.
-    Millis confirmAloneAfter{2500};
-    /// After a failed call, for a router that is not among the first to ask
-    /// where others are heard: these notice the store's return, and tell.
-    Millis sharedPause{3200};
-    Millis longSilence{2500}; ///< without a word of the store, asked or not: it may have been away
-    Millis replicaWait{100}; ///< of a replica that is to have what a neighbour told of; then the store itself is asked
-    /// After the store returned from an older copy, until it is listed: what is
-    /// held stays in force meanwhile, where nothing else tells lost entries from
-    /// deleted ones. Zero where the sink tells them apart.
+    ReadPolicy *reads = nullptr; ///< read policy of the store; null: every watch requires a current answer
+    replica::SharedReplica *shared = nullptr; ///< state shared with other routers; null: this router follows the store on its own
+    /// A first listing that was served by a replica is confirmed by this router's own watch after this delay, unless peers confirm
+    /// it earlier. Routers that started together hear each other by then; a router counts as connected 3 s after its start.
+    Millis selfConfirmDelay{2500};
+    /// Delay after a failed call of a router that hears others and is not among the first mostProbing by name. Those notice the
+    /// store's return and announce it.
+    Millis nonProberRetryDelay{3200};
+    Millis outageSuspectedAfter{2500}; ///< the store may have been down if neither this router nor a peer heard from it for this long
+    Millis replicaWatchWait{100}; ///< timeout of a watch on a replica for a change that a peer announced; after it, the store itself is watched
+    /// Delay of the first listing after the store was restored from an older copy. The known state stays in force meanwhile. It is
+    /// needed if the sink cannot tell lost entries from deleted ones; 0 if it can.
     Millis restorePause{0};
-    /// Listings because two routers hold different objects: no more than one in this time.
-    Millis relistEvery{10000};
+    /// Minimum interval between two listings that are made because two routers hold different objects.
+    Millis minRelistInterval{10000};
 };
 
-/// Routers that keep asking a store that does not answer, where others are heard: enough for one to be alive.
+/// Number of routers that keep calling an unreachable store while routers hear each other: enough that one of them is running.
 inline constexpr std::size_t mostProbing = 3;
 
-/// Follows one kind until stopped.
+/// Follows one kind of objects until stop() is called.
 template <FollowerSink Sink> class Follower
 {
 public:
@@ -80,21 +75,21 @@
         , m_kind(std::move(kind))
         , m_sink(sink)
         , m_options(options)
-        , m_pause(options.firstPause)
+        , m_retryDelay(options.firstPause)
     {
     }
 
     Task<void> run()
     {
         while (!m_stopping) {
-            co_await untilDue();
+            co_await waitUntilDue();
             if (m_stopping) {
                 break;
             }
             const bool reached = co_await step();
-            if (!reached && !m_stopping && !lacks()) {
-                co_await wake().wait(Clock::now() + nextPause());
-            } else if (m_hadNews && !m_stopping) {
+            if (!reached && !m_stopping && !behindPeer()) {
+                co_await wake().wait(Clock::now() + nextRetryDelay());
+            } else if (m_hadChanges && !m_stopping) {
                 co_await wake().wait(Clock::now() + m_options.afterNews);
             }
         }
@@ -104,28 +99,27 @@
         m_stopping = true;
         wake().notifyAll();
     }
-    /// Ends the watch that waits, if any, and starts another: it may have
-    /// been lost in an outage that is over. Ends the pause after a failed call.
+    /// Cancels the pending watch, which may have been lost in an outage that is over, and starts another one. Ends the delay after
+    /// a failed call.
     void restartWatch()
     {
-        doubt();
+        requireCurrentReads();
         wake().notifyAll();
         if (m_cancellation) {
             m_cancellation->fire();
         }
     }
-    /// One listing, one answer of another router or one watch; false when the
-    /// store could not be reached.
+    /// Runs one listing, one fetch from a peer or one watch. Returns false if the store could not be reached.
     Task<bool> step()
     {
         bool reached = false;
-        m_hadNews = false;
+        m_hadChanges = false;
         if (Clock::now() < m_listNotBefore) {
             co_await wake().wait(m_listNotBefore);
         }
         if (!m_listed) {
             reached = co_await list();
-        } else if (lacks()) {
+        } else if (behindPeer()) {
             reached = co_await fetch();
         } else if (behindEpoch()) {
             reached = co_await list();
@@ -133,21 +127,20 @@
             reached = co_await watch();
         }
         if (reached) {
-            m_pause = m_options.firstPause;
+            m_retryDelay = m_options.firstPause;
         }
         co_return reached;
     }
 
 private:
-    // True when the store has told a later epoch than that of what is held.
+    // Returns true if the store has announced a later epoch than that of the held state.
     bool behindEpoch() const
     {
         return m_listed && m_api.epoch() > m_epoch;
     }
 
-    // Puts a listing's epoch in force. Revisions of two epochs say nothing of
-    // each other: what was concluded from those held is void.
-    void enterEpoch(const platform::Listing &listing)
+    // Enters the epoch of a listing. Revisions of different epochs are not comparable, so conclusions from earlier ones are dropped.
+    void applyEpoch(const platform::Listing &listing)
     {
         if (listing.epoch > m_epoch && m_listedAt != Clock::time_point{}) {
             log::Line{log::Event::StoreRestored}
@@ -155,42 +148,41 @@
                 .add("epoch", static_cast<int64_t>(listing.epoch))
                 .add("before", static_cast<int64_t>(m_epoch))
                 .add("revision", static_cast<int64_t>(listing.revision))
-                .add("held", static_cast<int64_t>(m_from));
+                .add("held", static_cast<int64_t>(m_revision));
             if (m_options.reads) {
-                m_options.reads->restored(Clock::now());
+                m_options.reads->recordRestore(Clock::now());
             }
             m_sink.restored();
         }
         m_epoch = listing.epoch;
     }
 
-    // True when a listing is to be made once more, after those whose entries the
-    // store lost had time to write them again.
-    bool postponed(const platform::Listing &listing)
+    // Returns true if the listing must be read again after a delay, which lets the owners of entries that the store lost write them again.
+    bool delayListing(const platform::Listing &listing)
     {
         const bool restored = listing.epoch > m_epoch && m_listedAt != Clock::time_point{};
-        if (!restored || m_options.restorePause == Millis(0) || m_postponedIn == listing.epoch) {
+        if (!restored || m_options.restorePause == Millis(0) || m_delayedEpoch == listing.epoch) {
             return false;
         }
-        m_postponedIn = listing.epoch;
+        m_delayedEpoch = listing.epoch;
         m_listNotBefore = Clock::now() + m_options.restorePause;
         return true;
     }
 
-    // True when another router told of something newer: also during a call that
-    // then failed. A pause would keep it out of force.
-    bool lacks() const
+    // Returns true if a peer announced a newer state, also if it did so during a call that then failed. A retry delay would keep
+    // that state out of force.
+    bool behindPeer() const
     {
-        return m_options.shared && m_options.shared->lacks();
+        return m_options.shared && m_options.shared->behindPeer();
     }
 
-    // Waits while other routers' confirmations hold.
-    Task<void> untilDue()
+    // Waits while confirmations from peers are recent enough.
+    Task<void> waitUntilDue()
     {
         while (m_options.shared && m_listed && !m_stopping) {
             const auto now = Clock::now();
-            const auto due = m_options.shared->askAt(now);
-            if (lacks() || behindEpoch() || due <= now) {
+            const auto due = m_options.shared->queryDueAt(now);
+            if (behindPeer() || behindEpoch() || due <= now) {
                 co_return;
             }
             co_await wake().wait(due);
@@ -200,93 +192,91 @@
     replica::FetchSink fetchSink()
     {
         return {[this](const platform::Object &object, bool deleted) {
-                    noteContact(); // before the first news after an outage
+                    recordContact(); // recorded before the first update after an outage
                     m_sink.changed(object, deleted);
-                    m_hadNews = true;
+                    m_hadChanges = true;
                 },
                 [this](const platform::Listing &listing) {
-                    noteContact();
-                    enterEpoch(listing);
-                    m_from = listing.revision;
+                    recordContact();
+                    applyEpoch(listing);
+                    m_revision = listing.revision;
                     m_sink.listed(listing, platform::Freshness::MayLag);
-                    m_hadNews = true;
+                    m_hadChanges = true;
                 }};
     }
 
-    // Takes what another router told of; asks the store where that fails.
+    // Fetches the state that a peer announced, and reads from the store if the fetch fails.
     Task<bool> fetch()
     {
         const bool laterEpoch = m_options.shared->behindEpoch();
-        const auto handOn = m_lost ? replica::HandOn::Whole : replica::HandOn::Small;
-        const auto fetched = co_await m_options.shared->fetch(handOn, fetchSink());
-        if (m_hadNews) {
+        const auto limit = m_storeLost ? replica::TransferLimit::Large : replica::TransferLimit::Regular;
+        const auto outcome = co_await m_options.shared->fetch(limit, fetchSink());
+        if (m_hadChanges) {
             m_sink.batchEnded();
         }
-        if (fetched == replica::Fetched::Whole) {
-            noteContact();
+        if (outcome == replica::FetchOutcome::Complete) {
+            recordContact();
             co_return true;
         }
         if (laterEpoch) {
             co_return co_await list();
         }
-        // Only a listing tells which of the two is wrong.
-        if (fetched == replica::Fetched::Differs && Clock::now() - m_listedAt >= m_options.relistEvery) {
+        // Only a listing shows which of the two routers is wrong.
+        if (outcome == replica::FetchOutcome::Mismatch && Clock::now() - m_listedAt >= m_options.minRelistInterval) {
             m_listed = false;
             co_return co_await list();
         }
-        if (!m_lost) {
-            // What is too large for neighbours costs a tenth at a replica: 295
-            // routers take each change of a configuration of 1,200 routes so.
-            const bool reached = co_await watch(WatchAt{platform::Freshness::MayLag, m_options.replicaWait});
-            if (!reached || m_options.shared->holdsTold()) {
+        if (!m_storeLost) {
+            // Changes too large to be fetched from peers are read from a replica at a tenth of the price of a current read: every router
+            // of the fleet reads each change of a large configuration this way.
+            const bool reached = co_await watch(WatchMode{platform::Freshness::MayLag, m_options.replicaWatchWait});
+            if (!reached || m_options.shared->hasUnfetchedState()) {
                 co_return reached;
             }
         }
         co_return co_await watch();
     }
 
-    // Reads all pages; after a failure it goes on with the page that failed, as
-    // beginning anew never ends where many routers share the store's link.
+    // Reads all pages. After a failure the next attempt continues with the failed page: where many routers share the store's link,
+    // restarting from the first page would never complete.
     Task<bool> list()
     {
-        // At a start a replica's answer will do, at a tenth of the price: those
-        // who ask for all, or else a watch of its own, tell within a second
-        // what it lacks.
+        // A replica's answer suffices at the start, at a tenth of the price. What it lacks is reported within a second by the routers
+        // that query the store for all, or by this router's own watch.
         const bool first = m_listedAt == Clock::time_point{};
         const auto freshness = m_options.shared && first ? platform::Freshness::MayLag : platform::Freshness::Current;
         for (bool more = true; more;) {
             const std::string after = lastName();
             auto result = co_await m_api.list(m_kind, after, freshness);
             if (!ok(result)) {
-                noteLost(std::get<Error>(result));
+                recordStoreLost(std::get<Error>(result));
                 co_return false;
             }
             auto &page = std::get<platform::Listing>(result);
             const bool late = page.epoch < std::max(m_epoch, m_listing.epoch);
             const bool mixed = !m_listing.items.empty() && page.epoch != m_listing.epoch;
             if (late || mixed) {
-                m_listing = {}; // of a store that has returned from a copy meanwhile
+                m_listing = {}; // pages from before a restore of the store are not mixed with later ones
                 co_return !late;
             }
-            const bool promised = page.more;
-            takePage(std::move(page));
-            more = promised && lastName() != after;
+            const bool hasMore = page.more;
+            appendPage(std::move(page));
+            more = hasMore && lastName() != after;
             if (more && first) {
                 m_sink.listedSoFar(m_listing);
             }
         }
-        noteContact();
-        if (postponed(m_listing)) {
+        recordContact();
+        if (delayListing(m_listing)) {
             m_listing = {};
             co_return true;
         }
-        noteListed(freshness);
+        applyListing(freshness);
         co_return true;
     }
 
-    // The revision of the whole is its first page's: a watch from there misses
-    // no change made meanwhile.
-    void takePage(platform::Listing page)
+    // The listing gets the revision of its first page, so that a watch from there misses no change made while later pages were read.
+    void appendPage(platform::Listing page)
     {
         if (m_listing.items.empty()) {
             m_listing.revision = page.revision;
@@ -295,7 +285,7 @@
         std::move(page.items.begin(), page.items.end(), std::back_inserter(m_listing.items));
     }
 
-    // The name to go on after; an entry of another writer may have none.
+    // Returns the name after which the next page starts. An entry of another writer may have no name.
     std::string lastName() const
     {
         const auto &items = m_listing.items;
@@ -305,38 +295,38 @@
         return last == items.rend() ? std::string() : last->name;
     }
 
-    void noteListed(platform::Freshness freshness)
+    void applyListing(platform::Freshness freshness)
     {
         const auto listing = std::exchange(m_listing, {});
-        enterEpoch(listing);
+        applyEpoch(listing);
         m_listedAt = Clock::now();
         if (freshness == platform::Freshness::Current) {
             m_lastCurrent = m_listedAt;
         }
         m_lastFreshness = freshness;
-        m_from = listing.revision;
+        m_revision = listing.revision;
         m_listed = true;
         m_sink.listed(listing, freshness);
         if (m_options.shared) {
-            m_options.shared->listed(listing, freshness, m_listedAt);
+            m_options.shared->applyListing(listing, freshness, m_listedAt);
         }
     }
 
-    // How a watch is made where that is not left to the policy.
-    struct WatchAt {
+    // Overrides the read policy's choice for one watch.
+    struct WatchMode {
         platform::Freshness freshness;
         Millis wait;
     };
 
-    Task<bool> watch(std::optional<WatchAt> how = std::nullopt)
+    Task<bool> watch(std::optional<WatchMode> mode = std::nullopt)
     {
         http::Cancellation cancellation;
         m_cancellation = &cancellation;
         const auto askedAt = Clock::now();
-        const bool forOthers = m_options.shared && m_options.shared->shared(askedAt);
-        const auto freshness = how ? how->freshness : forOthers ? platform::Freshness::Current : freshnessAlone(askedAt);
-        const auto wait = how ? how->wait : forOthers ? m_options.shared->watchWait() : waitAlone(askedAt);
-        const auto from = m_options.shared ? m_options.shared->watchFrom(askedAt) : m_from;
+        const bool sharedWatch = m_options.shared && m_options.shared->shared(askedAt);
+        const auto freshness = mode ? mode->freshness : sharedWatch ? platform::Freshness::Current : standaloneFreshness(askedAt);
+        const auto wait = mode ? mode->wait : sharedWatch ? m_options.shared->watchWait() : standaloneWait(askedAt);
+        const auto from = m_options.shared ? m_options.shared->watchFrom(askedAt) : m_revision;
         auto result = co_await m_api.watch(m_kind, from, wait, freshness, &cancellation);
         m_cancellation = nullptr;
         if (!ok(result) && cancellation.fired()) {
@@ -344,68 +334,68 @@
         }
         if (!ok(result)) {
             const auto &error = std::get<Error>(result);
-            doubt();
+            requireCurrentReads();
             if (error.code == store::Gone) {
                 log::Line{log::Event::WatchRestarted}.add("kind", m_kind).add("from", static_cast<int64_t>(from));
                 m_listed = false;
                 co_return true;
             }
-            noteLost(error);
+            recordStoreLost(error);
             co_return false;
         }
-        noteContact();
+        recordContact();
         const auto &batch = std::get<platform::WatchBatch>(result);
         if (batch.epoch != m_epoch) {
-            co_return batch.epoch > m_epoch; // the next step lists; a late answer says nothing
+            co_return batch.epoch > m_epoch; // the next step lists the objects; an answer of an older epoch is ignored
         }
-        noteAnswered(freshness, batch, askedAt);
-        if (batch.revision < m_from) {
-            m_listed = m_listed && freshness == platform::Freshness::MayLag; // else a store that went back
+        recordWatchAnswer(freshness, batch, askedAt);
+        if (batch.revision < m_revision) {
+            m_listed = m_listed && freshness == platform::Freshness::MayLag; // a current answer shows that the store went back: list again
             co_return true;
         }
-        m_from = batch.revision;
-        m_hadNews = !batch.events.empty();
+        m_revision = batch.revision;
+        m_hadChanges = !batch.events.empty();
         for (const auto &event : batch.events) {
             m_sink.changed(event.object, event.deleted);
             if (m_options.shared) {
-                m_options.shared->changed(event.object, event.deleted, batch.revision);
+                m_options.shared->applyChange(event.object, event.deleted, batch.revision);
             }
         }
         m_sink.batchEnded();
         if (m_options.shared && freshness == platform::Freshness::Current) {
-            m_options.shared->confirmed(batch.revision, Clock::now(), m_hadNews);
+            m_options.shared->recordConfirmation(batch.revision, Clock::now(), m_hadChanges);
         }
         co_return true;
     }
 
-    // A start's listing that came from a replica is not yet confirmed.
+    // Returns true while the first listing, which a replica served, is not confirmed.
     bool unconfirmed() const
     {
-        return m_options.shared && !m_options.shared->confirmed();
+        return m_options.shared && !m_options.shared->isConfirmed();
     }
 
-    platform::Freshness freshnessAlone(Clock::time_point now) const
+    platform::Freshness standaloneFreshness(Clock::time_point now) const
     {
         if (unconfirmed()) {
-            return now >= m_listedAt + m_options.confirmAloneAfter ? platform::Freshness::Current : platform::Freshness::MayLag;
+            return now >= m_listedAt + m_options.selfConfirmDelay ? platform::Freshness::Current : platform::Freshness::MayLag;
         }
         return m_options.reads ? m_options.reads->choose(m_lastCurrent, now) : platform::Freshness::Current;
     }
 
-    Millis waitAlone(Clock::time_point now) const
+    Millis standaloneWait(Clock::time_point now) const
     {
-        const auto left = std::chrono::ceil<Millis>(m_listedAt + m_options.confirmAloneAfter - now);
+        const auto left = std::chrono::ceil<Millis>(m_listedAt + m_options.selfConfirmDelay - now);
         return unconfirmed() && left > Millis(0) ? std::min(left, m_options.watchWait) : m_options.watchWait;
     }
 
-    void doubt()
+    void requireCurrentReads()
     {
         if (m_options.reads) {
-            m_options.reads->doubt(Clock::now());
+            m_options.reads->requireCurrent(Clock::now());
         }
     }
 
-    void noteAnswered(platform::Freshness freshness, const platform::WatchBatch &batch, Clock::time_point askedAt)
+    void recordWatchAnswer(platform::Freshness freshness, const platform::WatchBatch &batch, Clock::time_point askedAt)
     {
         const auto now = Clock::now();
         if (freshness == platform::Freshness::Current) {
@@ -417,40 +407,39 @@
         m_lastFreshness = freshness;
     }
 
-    void noteContact()
+    void recordContact()
     {
         const auto now = Clock::now();
         const auto last = m_options.shared ? std::max(m_lastContact, m_options.shared->confirmedAt()) : m_lastContact;
         const auto away = last == Clock::time_point{} ? Clock::duration::zero() : now - last;
-        if (!m_lost && away >= m_options.longSilence) {
-            m_sink.regained(away); // this router did not ask meanwhile
+        if (!m_storeLost && away >= m_options.outageSuspectedAfter) {
+            m_sink.regained(away); // this router made no call meanwhile
         }
-        if (m_lost) {
-            m_lost = false;
+        if (m_storeLost) {
+            m_storeLost = false;
             log::Line{log::Event::StoreRegained}.add("kind", m_kind).add("away_ms", std::chrono::duration_cast<Millis>(away).count());
             m_sink.regained(away);
         }
         m_lastContact = now;
     }
 
-    void noteLost(const Error &error)
+    void recordStoreLost(const Error &error)
     {
-        if (!m_lost) {
-            m_lost = true;
+        if (!m_storeLost) {
+            m_storeLost = true;
             log::Line{log::Event::StoreLost}.add("kind", m_kind).add("code", int64_t{error.code}).add("why", error.message);
         }
     }
 
-    // Between half and all of the pause, so that routers that lost the store
-    // together do not come back together.
-    Millis nextPause()
+    // Returns a random delay between half of m_retryDelay and m_retryDelay, so that routers that lost the store together do not retry together.
+    Millis nextRetryDelay()
     {
         if (m_options.shared && m_options.shared->rank(Clock::now()) >= mostProbing) {
-            return m_options.sharedPause;
+            return m_options.nonProberRetryDelay;
         }
-        const Millis pause = m_pause / 2 + Millis(m_random() % static_cast<uint64_t>(m_pause.count() / 2 + 1));
-        m_pause = std::min(m_pause * 2, m_options.longestPause);
-        return pause;
+        const Millis delay = m_retryDelay / 2 + Millis(m_random() % static_cast<uint64_t>(m_retryDelay.count() / 2 + 1));
+        m_retryDelay = std::min(m_retryDelay * 2, m_options.longestPause);
+        return delay;
     }
 
     Notifier &wake()
@@ -462,23 +451,23 @@
     std::string m_kind;
     Sink &m_sink;
     FollowerOptions m_options;
-    Millis m_pause;
+    Millis m_retryDelay;
     Notifier m_wake;
     std::minstd_rand m_random{std::random_device{}()};
-    http::Cancellation *m_cancellation = nullptr; ///< of the watch that waits
-    uint64_t m_from = 0;
-    store::Epoch m_epoch = 0; ///< of m_from, and of all that the sink was told
-    store::Epoch m_postponedIn = 0; ///< the epoch whose first listing was put off
+    http::Cancellation *m_cancellation = nullptr; ///< of the pending watch
+    uint64_t m_revision = 0;
+    store::Epoch m_epoch = 0; ///< epoch of m_revision and of the state passed to the sink
+    store::Epoch m_delayedEpoch = 0; ///< epoch whose first listing was delayed
     Clock::time_point m_listNotBefore{};
-    platform::Listing m_listing; ///< the pages so far
+    platform::Listing m_listing; ///< pages read so far
     platform::Freshness m_lastFreshness = platform::Freshness::Current; ///< of the last answered watch
-    bool m_hadNews = false; ///< in the last watch
+    bool m_hadChanges = false; ///< in the last step
     bool m_listed = false;
-    bool m_lost = false;
+    bool m_storeLost = false;
     bool m_stopping = false;
     Clock::time_point m_listedAt{};
     Clock::time_point m_lastContact{};
-    Clock::time_point m_lastCurrent{}; ///< when the last current answer came
+    Clock::time_point m_lastCurrent{}; ///< time of the last current answer
 };
 
 } // namespace yucca
--- a/src/freshness.h
+++ b/src/freshness.h
@@ -1,6 +1,6 @@
-// When a router asks the store whether it lacks a change. Routers of a failure
-// domain tell each other what the store last confirmed; who hears a confirmation
-// of what it holds need not ask, so that a few calls serve all.
+// Decides when a router queries the store for missed changes. The routers of a failure domain announce to each other when the
+// store last confirmed their state. A router that receives a confirmation of the state it holds need not query the store, so
+// a few calls serve all routers.
 #pragma once
 
 #include "task.h"
@@ -11,55 +11,51 @@
 namespace yucca::replica
 {
 
-/// Times of Freshness, each a share of the time in which a change must be in force.
+/// Times of Freshness, each a fraction of the bound within which a change must be in force.
 struct FreshnessOptions {
-    /// Wait of a watch of the router that asks for the others. Its end confirms
-    /// that nothing has changed: it bounds the age of what the others know.
+    /// Watch timeout of the router that queries the store for the others. The end of a watch confirms that nothing has changed, so
+    /// it bounds the age of the peers' state.
     Millis watchWait{600};
-    /// A confirmation older than this does not hold: the router asks by itself.
-    /// More than a watch's wait and two rounds of datagrams; what is lost on the
-    /// way of a change, a frozen or dead asker above all, costs at most this.
-    Millis limit{1350};
-    /// Between those that ask when nobody else does: the first by name asks
-    /// first, and its confirmation reaches the next in time.
-    Millis step{150};
-    std::size_t mostSteps = 6; ///< the others all ask then: together within the bound
-    /// A revision is watched from only once it is this old. A store that drops
-    /// its history may keep a change from the watches of a second before that
-    /// and still tell its newest revision.
-    Millis trustedAfter{3000};
+    /// Maximum age of a confirmation; the router queries the store itself once it is older. It exceeds a watch timeout plus two
+    /// datagram rounds. If a change is not announced, typically because the querying router hangs or has failed, it is delayed by at most this.
+    Millis maxAge{1350};
+    /// Delay per rank while nobody queries the store: the first router by name queries first, and its confirmation reaches the next in time.
+    Millis rankDelay{150};
+    std::size_t maxRankDelays = 6; ///< all further routers query after this many delays, still within the bound
+    /// Minimum age of a revision that is watched from. A store that drops its history may hide the changes of the second before
+    /// from watches and still report its newest revision.
+    Millis watchRevisionMinAge{3000};
 };
 
-/// The options for deployments in which a change must be in force within a bound.
+/// Returns the options for deployments in which a change must be in force within a bound, which is clamped to minBound to maxBound.
 inline FreshnessOptions freshnessWithin(Millis bound)
 {
-    constexpr Millis leastBound{1000}; ///< less than three rounds of datagrams cannot be met by telling each other
-    constexpr Millis mostBound{3000}; ///< entries lapse after 3.6 s of an outage: each router notices one before
-    const double base = static_cast<double>(std::clamp(bound, leastBound, mostBound).count());
-    const auto share = [base](double x) {
+    constexpr Millis minBound{1000}; ///< peers cannot inform each other in less than three datagram rounds
+    constexpr Millis maxBound{3000}; ///< entries expire after 3.6 s of an outage; every router must notice an outage before that
+    const double base = static_cast<double>(std::clamp(bound, minBound, maxBound).count());
+    const auto fraction = [base](double x) {
         return Millis(static_cast<int64_t>(base * x));
     };
     FreshnessOptions options;
-    options.watchWait = share(0.20);
-    options.limit = share(0.45);
-    options.step = share(0.05);
+    options.watchWait = fraction(0.20);
+    options.maxAge = fraction(0.45);
+    options.rankDelay = fraction(0.05);
     return options;
 }
 
-/// Decides for one kind of objects; free of I/O.
+/// Decides for one kind of objects; performs no I/O.
 class Freshness
 {
 public:
-    /// spread is drawn from 0 to 1 once a router: those of one rank do not ask together.
-    explicit Freshness(FreshnessOptions options = {}, double spread = 0)
+    /// jitter is drawn once per router from 0 to 1, so that routers of equal rank do not query together.
+    explicit Freshness(FreshnessOptions options = {}, double jitter = 0)
         : m_options(options)
-        , m_spread(spread)
+        , m_jitter(jitter)
     {
     }
 
-    /// The store confirmed at a moment, to this router or to another one that
-    /// holds the same, that nothing is missing.
-    void confirmed(Clock::time_point at)
+    /// Records that the store confirmed at a time, to this router or to a peer with the same state, that no change is missing.
+    void recordConfirmation(Clock::time_point at)
     {
         m_confirmedAt = std::max(m_confirmedAt, at);
     }
@@ -67,22 +63,22 @@
     {
         return m_confirmedAt;
     }
-    /// From a moment on, others can be expected to confirm what is held here:
-    /// it was read from a replica of the store, or they are heard since then.
-    /// 295 routers that each ask once at a start are a third of a calm day's calls.
-    void expectFrom(Clock::time_point at)
+    /// Peers can be expected to confirm the held state from a time on: the state was read from a replica, or peers are heard since
+    /// then. Without this allowance, every router of a large fleet queries the store once at its start.
+    void expectConfirmationsFrom(Clock::time_point at)
     {
-        m_expectedFrom = std::max(m_expectedFrom, at);
+        m_confirmationsExpectedFrom = std::max(m_confirmationsExpectedFrom, at);
     }
-    /// When to ask the store. The rank is the number of routers heard lately
-    /// whose names come before this one's; the first asks all the time.
-    Clock::time_point askAt(std::size_t rank) const
+    /// Returns when to query the store. The rank is the number of recently heard routers whose names sort before this router's;
+    /// the router of rank 0 queries continuously.
+    Clock::time_point queryDueAt(std::size_t rank) const
     {
         if (rank == 0) {
             return m_confirmedAt;
         }
-        const auto steps = static_cast<double>(std::min(rank, m_options.mostSteps)) + m_spread;
-        return std::max(m_confirmedAt, m_expectedFrom) + m_options.limit + std::chrono::duration_cast<Clock::duration>(m_options.step * steps);
+        const auto steps = static_cast<double>(std::min(rank, m_options.maxRankDelays)) + m_jitter;
+        return std::max(m_confirmedAt, m_confirmationsExpectedFrom) + m_options.maxAge
+            + std::chrono::duration_cast<Clock::duration>(m_options.rankDelay * steps);
     }
     const FreshnessOptions &options() const
     {
@@ -91,9 +87,9 @@
 
 private:
     FreshnessOptions m_options;
-    double m_spread;
+    double m_jitter;
     Clock::time_point m_confirmedAt{};
-    Clock::time_point m_expectedFrom{};
+    Clock::time_point m_confirmationsExpectedFrom{};
 };
 
 } // namespace yucca::replica
--- a/src/load_exchange.cpp
+++ b/src/load_exchange.cpp
@@ -14,9 +14,9 @@
 namespace
 {
 
-constexpr std::size_t longestDatagram = 2048;
-constexpr Millis startSpread{1000};
-constexpr uint64_t silentEvery = 10; ///< rounds between datagrams to a peer that is silent
+constexpr std::size_t maxDatagramBytes = 2048;
+constexpr Millis startJitter{1000};
+constexpr uint64_t silentPeerRounds = 10; ///< a silent peer gets a datagram in one of this many rounds
 
 } // namespace
 
@@ -37,8 +37,8 @@
     }
 }
 
-// Binds the socket; routers work without it, each on what it hears itself.
-bool LoadExchange::open(const asio::any_io_executor &ex)
+// Binds the socket if it is not bound. Without it, a router works with the loads that it receives itself.
+bool LoadExchange::openSocket(const asio::any_io_executor &ex)
 {
     if (m_socket) {
         return true;
@@ -53,7 +53,7 @@
         socket.bind({address, m_self.address.port}, ec);
     }
     if (ec) {
-        complain(m_self.id, ec.message(), Clock::now());
+        logWarning(m_self.id, ec.message(), Clock::now());
         return false;
     }
     m_socket = std::move(socket);
@@ -62,13 +62,13 @@
 
 Task<void> LoadExchange::followPeers()
 {
-    // Routers that start together do not list together.
-    co_await sleepFor(Millis(m_random() % startSpread.count()));
-    Millis next = m_options.refreshSoon;
+    // Spreads the listings of routers that start together.
+    co_await sleepFor(Millis(m_random() % startJitter.count()));
+    Millis next = m_options.firstRefreshDelay;
     while (!m_stopping) {
         const bool reached = co_await refreshPeers(Clock::now());
-        co_await sleepFor(reached ? next : m_options.refreshAgain);
-        next = reached ? m_options.refreshEvery : next;
+        co_await sleepFor(reached ? next : m_options.retryDelay);
+        next = reached ? m_options.refreshInterval : next;
     }
 }
 
@@ -79,29 +79,29 @@
         co_return false;
     }
     if (++m_listings >= 2) {
-        m_listedRouters = m_directory.peers().size() + m_directory.farPeers().size() + 1;
-        shareLimits();
+        m_listedRouters = m_directory.domainPeers().size() + m_directory.otherDomainPeers().size() + 1;
+        publishRouters();
     }
     std::set<http::Address> listed;
-    for (const auto *peers : {&m_directory.peers(), &m_directory.farPeers()}) {
+    for (const auto *peers : {&m_directory.domainPeers(), &m_directory.otherDomainPeers()}) {
         for (const auto &peer : *peers) {
-            m_heardAt.try_emplace(peer.address, now);
+            m_lastHeardAt.try_emplace(peer.address, now);
             listed.insert(peer.address);
         }
     }
     m_neighbours = neighbours();
-    std::erase_if(m_heardAt, [&listed](const auto &heard) {
+    std::erase_if(m_lastHeardAt, [&listed](const auto &heard) {
         return !listed.count(heard.first);
     });
-    co_await forgetSilent(now);
+    co_await removeSilentEntries(now);
     co_return true;
 }
 
-// Tells the routing table who shares what cold endpoints bear.
-void LoadExchange::shareLimits()
+// Passes the names of all routers to the routing table, which shares the limits of cold endpoints among them.
+void LoadExchange::publishRouters()
 {
     std::vector<std::string> others;
-    for (const auto *peers : {&m_directory.peers(), &m_directory.farPeers()}) {
+    for (const auto *peers : {&m_directory.domainPeers(), &m_directory.otherDomainPeers()}) {
         for (const auto &peer : *peers) {
             others.push_back(peer.id);
         }
@@ -109,22 +109,22 @@
     m_table.setRouters(m_self.id, others);
 }
 
-// Entries of VMs that are gone would pile up.
-Task<void> LoadExchange::forgetSilent(Clock::time_point now)
+// Removes the entries of silent peers: those of VMs that no longer exist would accumulate.
+Task<void> LoadExchange::removeSilentEntries(Clock::time_point now)
 {
-    const auto peers = m_directory.peers();
+    const auto peers = m_directory.domainPeers();
     for (const auto &peer : peers) {
-        const auto heard = m_heardAt.find(peer.address);
-        if (heard != m_heardAt.end() && now - heard->second > m_options.forgottenAfter) {
-            co_await m_directory.forget(peer);
+        const auto heard = m_lastHeardAt.find(peer.address);
+        if (heard != m_lastHeardAt.end() && now - heard->second > m_options.entryRemovedAfter) {
+            co_await m_directory.removeEntry(peer);
         }
     }
 }
 
-bool LoadExchange::silent(const Peer &peer, Clock::time_point now) const
+bool LoadExchange::isSilent(const Peer &peer, Clock::time_point now) const
 {
-    const auto heard = m_heardAt.find(peer.address);
-    return heard == m_heardAt.end() || now - heard->second > m_options.silentAfter;
+    const auto heard = m_lastHeardAt.find(peer.address);
+    return heard == m_lastHeardAt.end() || now - heard->second > m_options.peerSilentAfter;
 }
 
 void LoadExchange::share(std::vector<replica::SharedReplica *> replicas)
@@ -137,12 +137,12 @@
     }
 }
 
-// The failure domain; a small fleet whole, as one round of datagrams reaches it.
+// Returns the routers of the failure domain, or all routers of a fleet small enough to be reached in one round.
 std::vector<Peer> LoadExchange::neighbours() const
 {
-    auto out = m_directory.peers();
-    const auto &far = m_directory.farPeers();
-    if (out.size() + far.size() <= m_options.mostTold) {
+    auto out = m_directory.domainPeers();
+    const auto &far = m_directory.otherDomainPeers();
+    if (out.size() + far.size() <= m_options.maxPeersPerRound) {
         out.insert(out.end(), far.begin(), far.end());
     }
     std::sort(out.begin(), out.end(), [](const Peer &a, const Peer &b) {
@@ -153,14 +153,14 @@
 
 std::optional<std::size_t> LoadExchange::rank(Clock::time_point now) const
 {
-    if (m_neighbours.empty() || now - m_neighbourHeardAt > m_options.askerSilentAfter) {
+    if (m_neighbours.empty() || now - m_neighbourHeardAt > m_options.neighbourSilentAfter) {
         return std::nullopt;
     }
-    const auto toldByEach = std::min(m_neighbours.size(), m_options.mostNearTold);
-    const auto silence = std::max<Clock::duration>(m_options.askerSilentAfter, m_options.every * 3 * m_neighbours.size() / toldByEach);
+    const auto peersPerRound = std::min(m_neighbours.size(), m_options.mostNearTold);
+    const auto silence = std::max<Clock::duration>(m_options.neighbourSilentAfter, m_options.every * 3 * m_neighbours.size() / peersPerRound);
     return static_cast<std::size_t>(std::count_if(m_neighbours.begin(), m_neighbours.end(), [&](const Peer &peer) {
-        const auto heard = m_heardAt.find(peer.address);
-        return peer.id < m_self.id && heard != m_heardAt.end() && now - heard->second <= silence;
+        const auto heard = m_lastHeardAt.find(peer.address);
+        return peer.id < m_self.id && heard != m_lastHeardAt.end() && now - heard->second <= silence;
     }));
 }
 
@@ -170,88 +170,87 @@
     while (!m_stopping) {
         const auto next = Clock::now() + m_options.every;
         co_await sleepFor(m_options.newsAfter);
-        if (!m_newsToTell) {
-            co_await m_news.wait(next);
+        if (!m_updatePending) {
+            co_await m_updateNotifier.wait(next);
         }
-        m_newsToTell = false;
-        if (open(ex) && !m_stopping) {
+        m_updatePending = false;
+        if (openSocket(ex) && !m_stopping) {
             co_await sendRound();
         }
     }
 }
 
-// Some of the peers, at random; the silent ones only now and then.
-std::vector<Peer> LoadExchange::drawn(const std::vector<Peer> &peers, std::size_t most, bool alsoSilent, Clock::time_point now)
+// Returns at most maxCount peers, drawn at random; silent ones only if includeSilent is set.
+std::vector<Peer> LoadExchange::randomPeers(const std::vector<Peer> &peers, std::size_t maxCount, bool includeSilent, Clock::time_point now)
 {
     std::vector<Peer> out;
     std::copy_if(peers.begin(), peers.end(), std::back_inserter(out), [&](const Peer &peer) {
-        return alsoSilent || !silent(peer, now);
+        return includeSilent || !isSilent(peer, now);
     });
     std::shuffle(out.begin(), out.end(), m_random);
-    out.resize(std::min(out.size(), most));
+    out.resize(std::min(out.size(), maxCount));
     return out;
 }
 
-// Tells some peers what was heard since the last round, and neighbours also
-// what the store confirmed; where nothing was heard, other peers are told now
-// and then that this router lives.
+// Sends what was heard since the last round to random peers, and to neighbours also the store's confirmations. In one round of
+// silentPeerRounds, silent peers are included and empty datagrams are sent, which show that this router is running.
 Task<void> LoadExchange::sendRound()
 {
     const auto now = Clock::now();
     Digest digest;
-    digest.loads = m_table.heardSince(m_toldUpTo);
-    m_toldUpTo = now;
-    countHeard(now);
+    digest.loads = m_table.heardSince(m_sentUpTo);
+    m_sentUpTo = now;
+    countHeardPeers(now);
     digest.prompts = m_table.takePromptNews(mostPrompts);
-    const bool breath = m_round++ % silentEvery == 0;
-    const bool heardNothing = digest.loads.empty() && digest.prompts.empty();
+    const bool keepaliveRound = m_round++ % silentPeerRounds == 0;
+    const bool nothingHeard = digest.loads.empty() && digest.prompts.empty();
     for (const auto *replica : m_replicas) {
-        if (auto told = replica->told()) {
-            digest.confirmations.push_back(std::move(*told));
+        if (auto confirmation = replica->currentConfirmation()) {
+            digest.confirmations.push_back(std::move(*confirmation));
         }
     }
-    const auto near = drawn(m_directory.peers(), m_options.mostNearTold, breath, now);
-    if (!heardNothing || !digest.confirmations.empty() || breath) {
+    const auto near = randomPeers(m_directory.domainPeers(), m_options.mostNearTold, keepaliveRound, now);
+    if (!nothingHeard || !digest.confirmations.empty() || keepaliveRound) {
         co_await send(near, digest, now);
     }
-    const bool smallFleet = m_neighbours.size() > m_directory.peers().size();
+    const bool smallFleet = m_neighbours.size() > m_directory.domainPeers().size();
     if (!smallFleet) {
         digest.confirmations.clear();
     }
-    if (!heardNothing || !digest.confirmations.empty() || breath) {
-        co_await send(drawn(m_directory.farPeers(), m_options.mostTold - near.size(), breath, now), digest, now);
+    if (!nothingHeard || !digest.confirmations.empty() || keepaliveRound) {
+        co_await send(randomPeers(m_directory.otherDomainPeers(), m_options.maxPeersPerRound - near.size(), keepaliveRound, now), digest, now);
     }
-    co_await sendEndings(breath, now);
+    co_await sendEndings(keepaliveRound, now);
 }
 
-Task<void> LoadExchange::send(const std::vector<Peer> &told, const Digest &digest, Clock::time_point now)
+Task<void> LoadExchange::send(const std::vector<Peer> &receivers, const Digest &digest, Clock::time_point now)
 {
     const auto datagram = encode(digest, now);
-    for (const auto &peer : told) {
+    for (const auto &peer : receivers) {
         boost::system::error_code ec;
         const auto address = asio::ip::make_address(peer.address.host, ec);
         if (!ec) {
             const Udp::endpoint to(address, peer.address.port);
             co_await m_socket->async_send_to(asio::buffer(datagram), to, asio::redirect_error(asio::use_awaitable, ec));
         }
-        // A datagram that is lost is not worth a word: the next round tells more.
+        // A lost datagram is not logged: the next round sends newer state.
     }
 }
 
 Task<void> LoadExchange::hear()
 {
     const auto ex = co_await asio::this_coro::executor;
-    std::array<uint8_t, longestDatagram> buffer;
+    std::array<uint8_t, maxDatagramBytes> buffer;
     while (!m_stopping) {
-        if (!open(ex)) {
-            co_await sleepFor(m_options.refreshAgain);
+        if (!openSocket(ex)) {
+            co_await sleepFor(m_options.retryDelay);
             continue;
         }
         Udp::endpoint from;
         boost::system::error_code ec;
         const auto n = co_await m_socket->async_receive_from(asio::buffer(buffer), from, asio::redirect_error(asio::use_awaitable, ec));
         if (ec && !m_stopping) {
-            co_await sleepFor(m_options.every); // an earlier datagram of ours found no listener
+            co_await sleepFor(m_options.every); // an earlier datagram of this router was rejected by its receiver's host
             continue;
         }
         take({buffer.data(), n}, {from.address().to_string(), from.port()}, Clock::now());
@@ -260,13 +259,13 @@
 
 void LoadExchange::take(std::span<const uint8_t> datagram, const http::Address &from, Clock::time_point now)
 {
-    const auto heard = m_heardAt.find(from);
-    if (heard == m_heardAt.end()) {
-        return; // not listed, or not yet
+    const auto heard = m_lastHeardAt.find(from);
+    if (heard == m_lastHeardAt.end()) {
+        return; // the sender is not listed
     }
     const auto decoded = decode(datagram, now);
     if (const auto *error = std::get_if<Error>(&decoded)) {
-        complain(from.host, error->message, now);
+        logWarning(from.host, error->message, now);
         return;
     }
     heard->second = now;
@@ -295,16 +294,16 @@
         return;
     }
     m_neighbourHeardAt = now;
-    for (const auto &word : digest.confirmations) {
-        takeConfirmation(word, *neighbour, now);
+    for (const auto &confirmation : digest.confirmations) {
+        dispatchConfirmation(confirmation, *neighbour, now);
     }
 }
 
-void LoadExchange::takeConfirmation(const replica::Confirmation &word, const Peer &from, Clock::time_point now)
+void LoadExchange::dispatchConfirmation(const replica::Confirmation &confirmation, const Peer &from, Clock::time_point now)
 {
     for (auto *replica : m_replicas) {
-        if (replica->kind() == word.kind) {
-            replica->heard(word, from.address, now);
+        if (replica->kind() == confirmation.kind) {
+            replica->receiveConfirmation(confirmation, from.address, now);
         }
     }
 }
@@ -312,27 +311,27 @@
 bool LoadExchange::firstByName(Clock::time_point now) const
 {
     const auto before = [&](const Peer &peer) {
-        return peer.id < m_self.id && !silent(peer, now);
+        return peer.id < m_self.id && !isSilent(peer, now);
     };
-    const auto &near = m_directory.peers();
-    const auto &far = m_directory.farPeers();
+    const auto &near = m_directory.domainPeers();
+    const auto &far = m_directory.otherDomainPeers();
     return std::none_of(near.begin(), near.end(), before) && std::none_of(far.begin(), far.end(), before);
 }
 
-// Logs a trouble that comes with each round or datagram, now and then.
-void LoadExchange::complain(const std::string &peer, const std::string &why, Clock::time_point now)
+// Logs a problem that may recur with each round or datagram, at most once per warningInterval.
+void LoadExchange::logWarning(const std::string &peer, const std::string &why, Clock::time_point now)
 {
-    if (now - m_complainedAt >= m_options.complainEvery) {
-        m_complainedAt = now;
+    if (now - m_warnedAt >= m_options.warningInterval) {
+        m_warnedAt = now;
         log::Line{log::Event::PeersUnreachable}.add("peer", peer).add("why", why);
     }
 }
 
-void LoadExchange::countHeard(Clock::time_point now)
+void LoadExchange::countHeardPeers(Clock::time_point now)
 {
-    const auto &peers = m_directory.peers();
+    const auto &peers = m_directory.domainPeers();
     m_heardPeers = static_cast<std::size_t>(std::count_if(peers.begin(), peers.end(), [&](const Peer &peer) {
-        return !silent(peer, now);
+        return !isSilent(peer, now);
     }));
 }
 
--- a/src/load_exchange.h
+++ b/src/load_exchange.h
@@ -1,7 +1,6 @@
-// Routers tell each other which loads they heard, which endpoints took which
-// prompts and what the store confirmed, most of all within a failure domain. A
-// router that sees a sliver of the traffic hears of one endpoint only every ten
-// seconds or so; the domain hears of it in a second.
+// Exchanges state with other routers by datagrams: reported endpoint loads, which endpoints processed which prompts, and the
+// store's confirmations, most of all within a failure domain. A router with a small part of the traffic gets a report of a given
+// endpoint only about every ten seconds; all routers of the domain together get one within a second.
 #pragma once
 
 #include "load_digest.h"
@@ -18,118 +17,114 @@
 namespace yucca::peers
 {
 
-/// Times and bounds of the exchange.
+/// Intervals and limits of the exchange.
 struct ExchangeOptions {
-    /// A round of datagrams. In the model of 84 routers and 90 engines the
-    /// worst five seconds have 0.088 of the requests over the bound without an
-    /// exchange, 0.024 with rounds of 0.3 s and 0.050 with rounds of 1 s.
+    /// Interval between rounds of datagrams. Without the exchange, far more requests exceed the load bound in the worst seconds, and
+    /// with rounds of 1 s still about twice as many as with this interval.
     Millis every{300};
-    /// Peers told in a round, drawn at random: 12 x 3.3 datagrams of about 80 B
-    /// are 3 KB/s, of the 5 KB/s a router may spend on control.
-    std::size_t mostTold = 12;
-    /// Of these, peers of the own failure domain: loads are worth most there,
-    /// where bytes cost least. What is left goes to the others.
+    /// Peers that receive a round's datagrams, drawn at random: 12 x 3.3 datagrams/s of about 80 B are 3 KB/s, of the 5 KB/s that a
+    /// router may spend on control traffic.
+    std::size_t maxPeersPerRound = 12;
+    /// Of these, peers of the same failure domain, where loads are most useful and bytes are cheapest. The remaining datagrams go to
+    /// other domains.
     std::size_t mostNearTold = 8;
-    Millis refreshEvery{10000}; ///< of the list of routers
-    Millis refreshSoon{1200}; ///< the first time: routers that started together are all there by then
-    Millis refreshAgain{5000}; ///< after the store could not be reached
-    Millis silentAfter{10000}; ///< a peer that has not been heard for so long is told one round in ten
-    Millis forgottenAfter{std::chrono::minutes(10)}; ///< its entry is removed from the store
-    /// News of the store are told before the next round is due, but not sooner after the last one.
+    Millis refreshInterval{10000}; ///< between reads of the list of routers
+    Millis firstRefreshDelay{1200}; ///< after the first read; routers that started together are all listed by then
+    Millis retryDelay{5000}; ///< after the store could not be reached, or the socket could not be bound
+    Millis peerSilentAfter{10000}; ///< a peer not heard for this long gets datagrams in one round of ten only
+    Millis entryRemovedAfter{std::chrono::minutes(10)}; ///< the store entry of a peer not heard for this long is removed
+    /// Minimum interval between rounds. Changes of the store's objects are sent after it, before the next regular round is due.
     Millis newsAfter{30};
-    /// A neighbour counts among those that ask the store when it was heard in
-    /// this time, or in three times as long as it takes on average to be told by one of them.
-    Millis askerSilentAfter{2000};
-    /// Routers that bring a request's single endings together, the same for all
-    /// routers: three, as any may be restarted or cut off.
+    /// A neighbour counts among the routers that query the store if it was heard within this time, or within three times the average
+    /// interval between its datagrams to a given router.
+    Millis neighbourSilentAfter{2000};
+    /// Number of routers that count the endings of one request; every router selects the same ones. Three, because any of them may
+    /// be restarted or unreachable.
     std::size_t endingCounters = 3;
-    Millis complainEvery{10000}; ///< a socket that cannot be bound, or a peer that sends nonsense, is logged so often
+    Millis warningInterval{10000}; ///< minimum interval between warnings about the socket or about malformed datagrams
 };
 
-/// Sends and takes datagrams; runs on one event loop.
+/// Sends and receives the datagrams on one event loop.
 class LoadExchange
 {
 public:
     LoadExchange(platform::ObjectApi &api, Peer self, router::RoutingTable &table, ExchangeOptions options = {});
 
-    /// Keeps the list of peers, until stopped.
+    /// Refreshes the list of peers and announces this router, until stop() is called.
     Task<void> followPeers();
-    /// Tells peers what was heard, until stopped.
+    /// Sends datagrams to peers, until stop() is called.
     Task<void> tell();
-    /// Takes what peers tell, until stopped.
+    /// Receives datagrams from peers, until stop() is called.
     Task<void> hear();
     void stop();
 
-    /// Takes one datagram; from a sender that is no peer it is left out.
+    /// Processes one datagram. A datagram from an address that is not listed as a peer's is ignored.
     void take(std::span<const uint8_t> datagram, const http::Address &from, Clock::time_point now);
-    /// Peers that were heard lately; from any thread.
+    /// Returns the number of recently heard peers of the failure domain; callable from any thread.
     std::size_t heardPeers() const
     {
         return m_heardPeers;
     }
-    /// Routers that the store lists, this one too; 0 until it has listed them
-    /// twice, as those that start together are not all there at first. From any thread.
+    /// Returns the number of routers listed in the store, including this one; callable from any thread. It is 0 until the second
+    /// listing, because routers that start together are not all in the first one.
     std::size_t listedRouters() const
     {
         return m_listedRouters;
     }
-    /// True when no router that was heard lately has a name before this one's:
-    /// what one router of the fleet is to do is this one's.
+    /// Returns true if no recently heard router has a name before this one's. Tasks that only one router of the fleet must do are that
+    /// router's.
     bool firstByName(Clock::time_point now) const;
-    /// What the store confirmed of these kinds is told to neighbours, and taken
-    /// from them. They must outlive the exchange.
+    /// Shares the store's confirmations of these kinds with the neighbours. The replicas must outlive the exchange.
     void share(std::vector<replica::SharedReplica *> replicas);
-    /// This router's place by name among the neighbours heard lately, 0 for the
-    /// first; nothing when none is heard. Neighbours are the routers of the
-    /// failure domain, or all of a fleet that is told whole in one round.
+    /// Returns the rank by name of this router among the recently heard neighbours, 0 for the first; nothing if none is heard. The
+    /// neighbours are the routers of the failure domain, or all routers of a fleet small enough to be reached in one round.
     std::optional<std::size_t> rank(Clock::time_point now) const;
-    /// Others are to be told before the next round is due; from the exchange's loop.
+    /// Requests a round before the next regular one is due; called on the exchange's event loop.
     void tellSoon()
     {
-        m_newsToTell = true;
-        m_news.notifyAll();
+        m_updatePending = true;
+        m_updateNotifier.notifyAll();
     }
-    /// What is known of requests under which endpoints end is told to others,
-    /// and taken from them. It must outlive the exchange.
+    /// Shares with all routers what is known of requests that end endpoints. The quarantine must outlive the exchange.
     void share(quarantine::RequestQuarantine &quarantine)
     {
         m_quarantine = &quarantine;
     }
-    /// Reads the list of peers once, and removes the entries of those that
-    /// have been silent for long. False when the store could not be reached.
+    /// Reads the list of peers once, and removes the entries of peers that have not been heard for entryRemovedAfter. Returns false
+    /// if the store could not be reached.
     Task<bool> refreshPeers(Clock::time_point now);
 
 private:
     using Udp = asio::ip::udp;
-    bool open(const asio::any_io_executor &ex);
+    bool openSocket(const asio::any_io_executor &ex);
     Task<void> sendRound();
-    Task<void> send(const std::vector<Peer> &told, const Digest &digest, Clock::time_point now);
-    Task<void> sendEndings(bool alsoSilent, Clock::time_point now);
-    std::vector<Peer> countersOf(uint64_t content, const std::vector<Peer> &others) const;
+    Task<void> send(const std::vector<Peer> &receivers, const Digest &digest, Clock::time_point now);
+    Task<void> sendEndings(bool includeSilent, Clock::time_point now);
+    std::vector<Peer> countersFor(uint64_t content, const std::vector<Peer> &others) const;
     std::vector<Peer> neighbours() const;
-    void takeConfirmation(const replica::Confirmation &word, const Peer &from, Clock::time_point now);
-    void shareLimits();
-    Task<void> forgetSilent(Clock::time_point now);
-    void countHeard(Clock::time_point now);
-    void complain(const std::string &peer, const std::string &why, Clock::time_point now);
-    bool silent(const Peer &peer, Clock::time_point now) const;
-    std::vector<Peer> drawn(const std::vector<Peer> &peers, std::size_t most, bool alsoSilent, Clock::time_point now);
+    void dispatchConfirmation(const replica::Confirmation &confirmation, const Peer &from, Clock::time_point now);
+    void publishRouters();
+    Task<void> removeSilentEntries(Clock::time_point now);
+    void countHeardPeers(Clock::time_point now);
+    void logWarning(const std::string &peer, const std::string &why, Clock::time_point now);
+    bool isSilent(const Peer &peer, Clock::time_point now) const;
+    std::vector<Peer> randomPeers(const std::vector<Peer> &peers, std::size_t maxCount, bool includeSilent, Clock::time_point now);
 
     Peer m_self;
     router::RoutingTable &m_table;
     ExchangeOptions m_options;
     Directory m_directory;
     std::optional<Udp::socket> m_socket;
-    std::map<http::Address, Clock::time_point> m_heardAt; ///< by sender; when it was first listed, before that
-    std::vector<Peer> m_neighbours; ///< by name
+    std::map<http::Address, Clock::time_point> m_lastHeardAt; ///< by sender; the time of the first listing for a sender not heard yet
+    std::vector<Peer> m_neighbours; ///< sorted by name
     std::vector<replica::SharedReplica *> m_replicas;
     quarantine::RequestQuarantine *m_quarantine = nullptr;
     Clock::time_point m_neighbourHeardAt{};
-    Notifier m_news;
-    bool m_newsToTell = false;
-    Clock::time_point m_toldUpTo{};
+    Notifier m_updateNotifier;
+    bool m_updatePending = false;
+    Clock::time_point m_sentUpTo{};
     uint64_t m_round = 0;
-    Clock::time_point m_complainedAt{};
+    Clock::time_point m_warnedAt{};
     std::minstd_rand m_random{std::random_device{}()};
     std::atomic<std::size_t> m_heardPeers{0};
     std::atomic<std::size_t> m_listedRouters{0};
--- a/src/load_exchange_endings.cpp
+++ b/src/load_exchange_endings.cpp
@@ -1,7 +1,6 @@
-// What routers tell each other of requests under which endpoints end. A single
-// ending or suspicion goes to the few routers that count it. From the second
-// ending on, and once suspicions hold a request back, all routers are told, and
-// each that learns it tells others.
+// Exchange of what routers know of requests that end endpoints. A single ending or suspicion is sent to the few routers that
+// count it. From the second ending on, and once suspicions hold a request back, all routers are informed, and each router that
+// learns it passes it on.
 #include "load_exchange.h"
 #include "member_state.h"
 
@@ -10,9 +9,9 @@
 namespace yucca::peers
 {
 
-// The first routers in the rendezvous order of what was asked for; this one
-// needs no datagram where it is among them.
-std::vector<Peer> LoadExchange::countersOf(uint64_t content, const std::vector<Peer> &others) const
+// Returns the routers that count a content's endings: the first ones in its rendezvous order. This router is left out, as it
+// needs no datagram.
+std::vector<Peer> LoadExchange::countersFor(uint64_t content, const std::vector<Peer> &others) const
 {
     const auto rankOf = [content](const Peer &peer) {
         return placement::rank(ring::hash(peer.id), content);
@@ -29,49 +28,49 @@
     return counters;
 }
 
-Task<void> LoadExchange::sendEndings(bool alsoSilent, Clock::time_point now)
+Task<void> LoadExchange::sendEndings(bool includeSilent, Clock::time_point now)
 {
     if (!m_quarantine) {
         co_return;
     }
-    auto others = m_directory.peers();
-    others.insert(others.end(), m_directory.farPeers().begin(), m_directory.farPeers().end());
-    const bool allAtOnce = others.size() <= m_options.mostTold;
+    auto others = m_directory.domainPeers();
+    others.insert(others.end(), m_directory.otherDomainPeers().begin(), m_directory.otherDomainPeers().end());
+    const bool reachesAllPeers = others.size() <= m_options.maxPeersPerRound;
     auto news = m_quarantine->takeNews(mostEndings);
     Digest forAll;
     forAll.answers = std::move(news.answers);
-    std::map<std::string, std::pair<Peer, Digest>> forCounters; // by router
-    const auto tellCounters = [&](uint64_t content, auto member, const auto &item) {
-        for (const auto &peer : countersOf(content, others)) {
+    std::map<std::string, std::pair<Peer, Digest>> forCounters; // by router id
+    const auto addForCounters = [&](uint64_t content, auto member, const auto &item) {
+        for (const auto &peer : countersFor(content, others)) {
             auto &[to, digest] = forCounters[peer.id];
             to = peer;
             (digest.*member).push_back(item);
         }
     };
     for (const auto &record : news.records) {
-        if (allAtOnce || news.urgent.count(record.content) || record.endpoints.size() >= m_quarantine->options().leastShared) {
+        if (reachesAllPeers || news.urgent.count(record.content) || record.endpoints.size() >= m_quarantine->options().leastShared) {
             forAll.endings.push_back(record);
         } else {
-            tellCounters(record.content, &Digest::endings, record);
+            addForCounters(record.content, &Digest::endings, record);
         }
     }
     for (const auto &suspicion : news.suspicions) {
-        if (allAtOnce || news.urgent.count(suspicion.content)) {
+        if (reachesAllPeers || news.urgent.count(suspicion.content)) {
             forAll.suspicions.push_back(suspicion);
         } else {
-            tellCounters(suspicion.content, &Digest::suspicions, suspicion);
+            addForCounters(suspicion.content, &Digest::suspicions, suspicion);
         }
     }
-    if (alsoSilent) {
+    if (includeSilent) {
         auto held = m_quarantine->someHeld(mostEndings - forAll.endings.size(), now);
         std::move(held.begin(), held.end(), std::back_inserter(forAll.endings));
     }
     if (!forAll.endings.empty() || !forAll.suspicions.empty() || !forAll.answers.empty()) {
-        co_await send(drawn(others, m_options.mostTold, alsoSilent, now), forAll, now);
+        co_await send(randomPeers(others, m_options.maxPeersPerRound, includeSilent, now), forAll, now);
     }
-    for (const auto &[id, told] : forCounters) {
-        const std::vector<Peer> to{told.first};
-        co_await send(to, told.second, now);
+    for (const auto &[id, batch] : forCounters) {
+        const std::vector<Peer> to{batch.first};
+        co_await send(to, batch.second, now);
     }
 }
 
--- a/src/member_state.h
+++ b/src/member_state.h
@@ -1,5 +1,4 @@
-// How per-member state follows the members of a pool, and how members are
-// ranked for a key.
+// Keeps state per pool member across changes of the membership, and ranks members for a key.
 #pragma once
 
 #include "yucca/ring.h"
@@ -12,8 +11,7 @@
 namespace yucca::placement
 {
 
-// Mixes a member's hash with a key: the member's rank in the key's
-// rendezvous order (the finalizer of SplitMix64).
+// Returns the member's score for a key in rendezvous hashing; the highest score ranks first. Mixes both with the finalizer of SplitMix64.
 inline uint64_t rank(uint64_t member, uint64_t key)
 {
     uint64_t x = member ^ (key * 0x9e3779b97f4a7c15ULL);
@@ -22,8 +20,7 @@
     return x ^ (x >> 31);
 }
 
-// Moves per-member state to the new order of the members: what stays keeps
-// its state, what is new starts empty.
+// Maps per-member state to a new sorted member list: remaining members keep their state, new members get a default-constructed one.
 template <typename State>
 std::vector<State> carryOver(const std::vector<std::string> &oldIds, const std::vector<State> &old, const std::vector<std::string> &newIds)
 {
@@ -37,7 +34,7 @@
     return out;
 }
 
-// The hashes that members are ranked by.
+// Returns the hashes by which rank() scores members, in the order of the ids.
 inline std::vector<uint64_t> hashesOf(const std::vector<std::string> &ids)
 {
     std::vector<uint64_t> hashes(ids.size());
--- a/src/notifier.h
+++ b/src/notifier.h
@@ -8,18 +8,18 @@
 namespace yucca
 {
 
-/// Wakes every waiting coroutine at once; used from one event loop.
+/// Wakes all waiting coroutines at once; used from one event loop.
 class Notifier
 {
 public:
-    /// Suspends until notifyAll() or the deadline, whichever is first.
+    /// Suspends until notifyAll() is called or the deadline passes.
     Task<void> wait(Clock::time_point deadline)
     {
         asio::steady_timer timer(co_await asio::this_coro::executor, deadline);
-        const auto at = m_waiting.insert(m_waiting.end(), &timer);
+        const auto position = m_waiting.insert(m_waiting.end(), &timer);
         boost::system::error_code ec;
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
-        m_waiting.erase(at);
+        m_waiting.erase(position);
     }
     void notifyAll()
     {
--- a/src/object_api.cpp
+++ b/src/object_api.cpp
@@ -5,7 +5,7 @@
 
 Task<Result<Listing>> listAll(ObjectApi &api, std::string kind, Freshness freshness)
 {
-    Listing whole;
+    Listing combined;
     std::string after;
     for (bool first = true;; first = false) {
         auto listed = co_await api.list(kind, after, freshness);
@@ -14,13 +14,13 @@
         }
         auto &page = std::get<Listing>(listed);
         if (first) {
-            whole.revision = page.revision;
+            combined.revision = page.revision;
         }
-        std::move(page.items.begin(), page.items.end(), std::back_inserter(whole.items));
+        std::move(page.items.begin(), page.items.end(), std::back_inserter(combined.items));
         if (!page.more || page.items.empty()) {
-            co_return whole;
+            co_return combined;
         }
-        after = whole.items.back().name;
+        after = combined.items.back().name;
     }
 }
 
--- a/src/object_api.h
+++ b/src/object_api.h
@@ -1,4 +1,4 @@
-// The platform's object API as the fleet sees it.
+// The interface of the platform's object store.
 #pragma once
 
 #include "http_client.h"
@@ -19,44 +19,42 @@
 using store::Object;
 using store::WatchBatch;
 
-/// The kind of the VM list's entries: live and leaving endpoints, as the
-/// platform last heard of them. Read-only to the system.
+/// The kind of the VM list's entries: live and leaving endpoints as the platform last reported them. Read-only for the fleet.
 inline constexpr const char *vmKind = "vm";
 
-/// After a watch's wait, until its answer is given up: the store answers in 4 ms, links take 1 ms.
+/// Time allowed for a watch's answer after its timeout: the store answers in 4 ms, links take 1 ms.
 inline constexpr Millis watchMargin{700};
 
-/// The object API. Errors use the codes of store.h: 404, 409, 410,
-/// 429 (rate limited), 503 (unavailable: the call had no effect) and
-/// 504 (answer lost: the call may have taken effect).
+/// The object API. Calls fail with the codes of store.h: 404, 409, 410, 429 (rate limited), 503 (unavailable: the call had no
+/// effect) and 504 (answer lost: the call may have taken effect).
 class ObjectApi
 {
 public:
     virtual ~ObjectApi() = default;
     virtual Task<Result<Object>> get(std::string kind, std::string name, Freshness freshness) = 0;
-    /// One page of the objects of a kind, by name, those after a name.
+    /// Returns one page of the objects of a kind, sorted by name, starting after the given name.
     virtual Task<Result<Listing>> list(std::string kind, std::string after, Freshness freshness) = 0;
-    /// Writes an object. ifVersion: absent = unconditional, 0 = create only, N = only at version N.
+    /// Writes an object. ifVersion: absent = unconditional, 0 = create only, N = only at version N. Returns the object written.
     virtual Task<Result<Object>> put(std::string kind, std::string name, nlohmann::json value, std::optional<uint64_t> ifVersion) = 0;
     virtual Task<Result<Object>> remove(std::string kind, std::string name, std::optional<uint64_t> ifVersion) = 0;
-    /// Changes of a kind after revision from, waiting up to timeout for one.
-    /// Fired, the cancellation ends the wait early with an error.
+    /// Returns the changes of a kind after the revision from, waiting up to timeout for the first one. Firing the cancellation ends the
+    /// wait with an error.
     virtual Task<Result<WatchBatch>> watch(std::string kind, uint64_t from, Millis timeout, Freshness freshness, http::Cancellation *cancellation) = 0;
-    /// True when the store answers calls: the cheapest question it takes.
+    /// Returns true if the store answers calls, using the cheapest call it offers.
     virtual Task<bool> answers(std::string kind) = 0;
-    /// The highest epoch that any answer told so far, failures included; from any thread.
+    /// Returns the highest epoch seen in any answer, including failed calls; callable from any thread.
     virtual store::Epoch epoch() const
     {
         return 0;
     }
 };
 
-/// Lists a kind whole, page by page. Its revision is the first page's, so a
-/// watch from there misses no change made meanwhile.
+/// Lists all objects of a kind, page by page. The result has the revision of the first page, so that a watch from there misses no
+/// change made while later pages were read. Fails with the error of the first failed call.
 Task<Result<Listing>> listAll(ObjectApi &api, std::string kind, Freshness freshness = Freshness::Current);
 
 nlohmann::json toJson(const Endpoint &e);
-/// Reads an endpoint as the VM list holds it; absent fields take defaults.
+/// Reads an endpoint from an entry of the VM list. Absent fields and unknown names take defaults.
 Endpoint endpointFromJson(const nlohmann::json &j);
 
 } // namespace yucca::platform
--- a/src/object_replica.cpp
+++ b/src/object_replica.cpp
@@ -13,20 +13,19 @@
 namespace
 {
 
-// The part of one object in the digest, which is the exclusive or of them all:
-// it does not depend on the order in which they came.
-uint64_t digestOf(const std::string &name, uint64_t version)
+// Returns one object's part of the digest. The digest is the exclusive or of all parts, so it does not depend on their order.
+uint64_t objectDigest(const std::string &name, uint64_t version)
 {
     return XXH3_64bits_withSeed(name.data(), name.size(), version);
 }
 
-constexpr std::size_t headBytes = 16; ///< of an object in an answer beside its name and value, estimated
+constexpr std::size_t objectOverheadBytes = 16; ///< estimated size of an object in an answer, without its name and value
 
-// One object: [name, version, value as CBOR].
-bool readObject(const json &item, HandedObject &out)
+// Reads one object: [name, version, value as CBOR].
+bool readObject(const json &item, ReplicatedObject &out)
 {
-    const bool shaped = item.is_array() && item.size() == 3 && item[0].is_string() && item[1].is_number_unsigned() && item[2].is_binary();
-    if (!shaped) {
+    const bool wellFormed = item.is_array() && item.size() == 3 && item[0].is_string() && item[1].is_number_unsigned() && item[2].is_binary();
+    if (!wellFormed) {
         return false;
     }
     out.name = item[0].get<std::string>();
@@ -35,23 +34,23 @@
     return !out.value.is_discarded();
 }
 
-Result<Changes> readChanges(const json &written)
+Result<Changes> readChanges(const json &encoded)
 {
-    const bool shaped = written.is_array() && written.size() == 6 && written[0].is_number_unsigned() && written[1].is_number_unsigned() && written[2].is_array()
-        && written[3].is_array() && written[4].is_number_unsigned() && written[5].is_boolean();
-    if (!shaped) {
-        return Error{400, "not a list of changes"};
+    const bool wellFormed = encoded.is_array() && encoded.size() == 6 && encoded[0].is_number_unsigned() && encoded[1].is_number_unsigned()
+        && encoded[2].is_array() && encoded[3].is_array() && encoded[4].is_number_unsigned() && encoded[5].is_boolean();
+    if (!wellFormed) {
+        return Error{400, "the body is not an encoded list of changes"};
     }
-    Changes out{written[0].get<uint64_t>(), written[1].get<uint64_t>(), {}, {}, written[4].get<store::Epoch>(), written[5].get<bool>()};
-    for (const auto &item : written[2]) {
+    Changes out{encoded[0].get<uint64_t>(), encoded[1].get<uint64_t>(), {}, {}, encoded[4].get<store::Epoch>(), encoded[5].get<bool>()};
+    for (const auto &item : encoded[2]) {
         out.objects.emplace_back();
         if (!readObject(item, out.objects.back())) {
             return Error{400, "object " + std::to_string(out.objects.size()) + " is malformed"};
         }
     }
-    for (const auto &name : written[3]) {
+    for (const auto &name : encoded[3]) {
         if (!name.is_string()) {
-            return Error{400, "a deleted name is no text"};
+            return Error{400, "the name of a deleted object is not a string"};
         }
         out.deleted.push_back(name.get<std::string>());
     }
@@ -76,7 +75,7 @@
     out.push_back(std::move(objects));
     out.push_back(changes.deleted);
     out.push_back(changes.epoch);
-    out.push_back(changes.whole);
+    out.push_back(changes.isSnapshot);
     return json::to_cbor(out);
 }
 
@@ -85,82 +84,82 @@
     try {
         return readChanges(json::from_cbor(bytes.begin(), bytes.end(), true, false));
     } catch (const json::exception &e) {
-        return Error{400, e.what()}; // a stated size beyond all bounds throws even where errors are not to
+        return Error{400, e.what()}; // from_cbor() throws on an excessive size even with exceptions disabled
     }
 }
 
-void ObjectReplica::hold(const store::Object &object)
+void ObjectReplica::insertObject(const store::Object &object)
 {
     const auto held = m_objects.find(object.name);
     if (held != m_objects.end()) {
-        drop(held);
+        eraseObject(held);
     }
     auto value = json::to_cbor(object.value);
-    if (value.size() > m_options.mostBytesWhole) {
+    if (value.size() > m_options.maxBytesLarge) {
         value = {};
     }
-    m_digest ^= digestOf(object.name, object.version);
+    m_digest ^= objectDigest(object.name, object.version);
     m_objects[object.name] = {object.version, std::move(value)};
 }
 
-void ObjectReplica::drop(std::map<std::string, Held>::iterator held)
+void ObjectReplica::eraseObject(std::map<std::string, StoredObject>::iterator held)
 {
-    m_digest ^= digestOf(held->first, held->second.version);
+    m_digest ^= objectDigest(held->first, held->second.version);
     m_objects.erase(held);
 }
 
-void ObjectReplica::listed(const store::Listing &listing)
+void ObjectReplica::applyListing(const store::Listing &listing)
 {
     if (listing.epoch != m_epoch) {
         *this = ObjectReplica(m_options);
         m_epoch = listing.epoch;
     }
     if (!m_listed) {
-        m_deletionsFrom = listing.revision;
+        m_deletionsKnownAfter = listing.revision;
         m_listed = true;
     }
     std::set<std::string> names;
     for (const auto &object : listing.items) {
         names.insert(object.name);
-        hold(object);
+        insertObject(object);
     }
-    std::vector<std::string> gone;
+    std::vector<std::string> missing;
     for (const auto &[name, held] : m_objects) {
         if (!names.count(name)) {
-            gone.push_back(name);
+            missing.push_back(name);
         }
     }
-    for (const auto &name : gone) {
-        noteDeleted(m_objects.find(name), listing.revision);
+    for (const auto &name : missing) {
+        recordDeletion(m_objects.find(name), listing.revision);
     }
     m_revision = listing.revision;
 }
 
-void ObjectReplica::noteDeleted(std::map<std::string, Held>::iterator held, uint64_t revision)
+void ObjectReplica::recordDeletion(std::map<std::string, StoredObject>::iterator held, uint64_t revision)
 {
     m_deletions.push_back({held->first, revision});
-    drop(held);
-    if (m_deletions.size() > m_options.mostDeletions) {
-        m_deletionsFrom = std::max(m_deletionsFrom, m_deletions.front().revision);
+    eraseObject(held);
+    if (m_deletions.size() > m_options.maxDeletions) {
+        m_deletionsKnownAfter = std::max(m_deletionsKnownAfter, m_deletions.front().revision);
         m_deletions.pop_front();
     }
 }
 
-bool ObjectReplica::changed(const store::Object &object, bool deleted, uint64_t revision)
+bool ObjectReplica::applyChange(const store::Object &object, bool deleted, uint64_t revision)
 {
     const auto held = m_objects.find(object.name);
     if (deleted) {
         if (held == m_objects.end()) {
             return false;
         }
-        noteDeleted(held, revision);
+        recordDeletion(held, revision);
         return true;
     }
-    // Version 0 is an entry that cannot be read: it replaces what was read before.
+    // Version 0 marks an unreadable entry; it replaces the readable one.
     if (held != m_objects.end() && object.version != 0 && held->second.version >= object.version) {
         return false;
     }
-    hold(object);
+    insertObject(object);
     return true;
 }
 
@@ -170,12 +169,12 @@
     return held == m_objects.end() ? 0 : held->second.version;
 }
 
-Result<Changes> ObjectReplica::changesSince(uint64_t revision, HandOn handOn) const
+Result<Changes> ObjectReplica::changesSince(uint64_t revision, TransferLimit limit) const
 {
-    if (revision < m_deletionsFrom) {
+    if (revision < m_deletionsKnownAfter) {
         return Error{store::Gone, "deletions of before are not known"};
     }
-    auto out = collect(revision, handOn);
+    auto out = collectChanges(revision, limit);
     if (!ok(out)) {
         return out;
     }
@@ -187,27 +186,27 @@
     return out;
 }
 
-Result<Changes> ObjectReplica::snapshot(HandOn handOn) const
+Result<Changes> ObjectReplica::snapshot(TransferLimit limit) const
 {
-    auto out = collect(0, handOn);
+    auto out = collectChanges(0, limit);
     if (ok(out)) {
-        std::get<Changes>(out).whole = true;
+        std::get<Changes>(out).isSnapshot = true;
     }
     return out;
 }
 
-// The objects that changed after a revision.
-Result<Changes> ObjectReplica::collect(uint64_t after, HandOn handOn) const
+// Returns the objects that changed after a revision, without deletions.
+Result<Changes> ObjectReplica::collectChanges(uint64_t after, TransferLimit limit) const
 {
-    const std::size_t most = handOn == HandOn::Whole ? m_options.mostBytesWhole : m_options.mostBytes;
+    const std::size_t maxBytes = limit == TransferLimit::Large ? m_options.maxBytesLarge : m_options.maxBytes;
     Changes out{m_revision, m_digest, {}, {}, m_epoch, false};
     std::size_t bytes = 0;
     for (const auto &[name, held] : m_objects) {
         if (held.version <= after) {
             continue;
         }
-        bytes += name.size() + held.value.size() + headBytes;
-        if (held.value.empty() || bytes > most) {
+        bytes += name.size() + held.value.size() + objectOverheadBytes;
+        if (held.value.empty() || bytes > maxBytes) {
             return Error{413, "more than a router hands on"};
         }
         out.objects.push_back({name, held.version, json::from_cbor(held.value)});
--- a/src/object_replica.h
+++ b/src/object_replica.h
@@ -1,5 +1,5 @@
-// One kind of the store's objects as a router holds them: what it hands on to
-// other routers, and a digest by which two routers see that they hold the same.
+// A router's copy of one kind of the store's objects: the source of changes for other routers, and a digest by which two routers
+// detect that they hold the same objects.
 #pragma once
 
 #include "store.h"
@@ -17,55 +17,52 @@
 namespace yucca::replica
 {
 
-/// An object as one router hands it to another.
-struct HandedObject {
+/// An object as transferred between routers.
+struct ReplicatedObject {
     std::string name;
     uint64_t version = 0;
     nlohmann::json value;
 };
 
-/// What happened to a kind after a revision, up to another one.
+/// The changes of one kind between two revisions.
 struct Changes {
-    uint64_t revision = 0; ///< up to which nothing is missing
-    uint64_t digest = 0; ///< of all that the sender holds
-    std::vector<HandedObject> objects;
-    std::vector<std::string> deleted; ///< names
+    uint64_t revision = 0; ///< no change is missing up to this revision
+    uint64_t digest = 0; ///< of all objects that the sender holds
+    std::vector<ReplicatedObject> objects;
+    std::vector<std::string> deleted; ///< names of deleted objects
     store::Epoch epoch = 0; ///< of the revisions
-    bool whole = false; ///< all that the sender holds, for one that holds another epoch
+    bool isSnapshot = false; ///< true if objects holds all objects of the sender, for a receiver of another epoch
 };
 
-/// How far a router holds a kind.
+/// The position up to which a router holds a kind; ordered by epoch, then revision.
 struct Position {
     store::Epoch epoch = 0;
     uint64_t revision = 0;
     auto operator<=>(const Position &) const = default;
 };
 
-/// Changes as CBOR, and back; an Error (400) says what is wrong with the bytes.
+/// Encodes changes as CBOR. decode() fails with an Error (400) that describes what is malformed.
 std::vector<uint8_t> encode(const Changes &changes);
 Result<Changes> decode(std::span<const uint8_t> bytes);
 
-/// How much one router asks of another.
-enum class HandOn {
-    Small, ///< the store is there for the rest
-    Whole, ///< the store turns the asker away
+/// Which size limit applies to a transfer between routers.
+enum class TransferLimit {
+    Regular, ///< larger changes are read from the store
+    Large, ///< for a router that the store refuses
 };
 
-/// Bounds of what a router hands on.
+/// Size limits of an ObjectReplica.
 struct ReplicaOptions {
-    /// Of one answer. 64 KB are 26 ms of the smallest link met (20 Mbit/s), so
-    /// that eight askers at once are served in 0.2 s. What is larger comes from
-    /// the store, whose link is 50 times as wide.
-    std::size_t mostBytes = 64 * 1024;
-    /// Of an answer to a router that the store turns away: an object may have 1 MB.
-    std::size_t mostBytesWhole = 1024 * 1024;
-    /// Deletions remembered: who lacks an older one asks the store.
-    std::size_t mostDeletions = 1024;
+    /// Size of a regular answer. 64 KB take 26 ms on the slowest supported link (20 Mbit/s), so that eight concurrent answers take
+    /// 0.2 s. Larger changes are read from the store, whose link is 50 times faster.
+    std::size_t maxBytes = 64 * 1024;
+    /// Size of an answer to a router that the store refuses: one object may have 1 MB.
+    std::size_t maxBytesLarge = 1024 * 1024;
+    /// Deletions remembered; a router that lacks an older one queries the store.
+    std::size_t maxDeletions = 1024;
 };
 
-/// The objects of one kind with their versions. Within an epoch versions only
-/// move forward: an older object never takes the place of a newer one. Used from
-/// one thread.
+/// The objects of one kind with their versions. Within an epoch an older version never replaces a newer one. Used from one thread.
 class ObjectReplica
 {
 public:
@@ -74,15 +71,14 @@
     {
     }
 
-    /// Replaces everything by a listing. What it lacks counts as deleted, so
-    /// that others still get the changes since their revision from here. One of
-    /// another epoch replaces also what is known of deletions.
-    void listed(const store::Listing &listing);
-    /// Takes one change of an answer that reaches up to a revision. False when
-    /// the object held is as new already.
-    bool changed(const store::Object &object, bool deleted, uint64_t revision);
-    /// Nothing is missing up to a revision.
-    void reached(uint64_t revision)
+    /// Replaces all objects by a listing. Objects missing from it are recorded as deleted, so that peers can still fetch the changes
+    /// since their revision. A listing of another epoch also clears the recorded deletions.
+    void applyListing(const store::Listing &listing);
+    /// Applies one change from an answer that covers changes up to revision. Returns false if the held object is at least as new, or
+    /// if the object to delete is not held.
+    bool applyChange(const store::Object &object, bool deleted, uint64_t revision);
+    /// Records that no change is missing up to a revision.
+    void advanceTo(uint64_t revision)
     {
         m_revision = std::max(m_revision, revision);
     }
@@ -95,39 +91,39 @@
     {
         return m_epoch;
     }
-    /// Equal for two routers that hold the same objects in the same versions.
+    /// Returns a digest that is equal for two routers with the same objects in the same versions.
     uint64_t digest() const
     {
         return m_digest;
     }
-    /// The version held of an object; 0 when there is none.
+    /// Returns the held version of an object; 0 if it is not held.
     uint64_t versionOf(const std::string &name) const;
 
-    /// What changed after a revision. Error 410 when that is no longer known
-    /// whole, 413 when it is more than one router hands to another.
-    Result<Changes> changesSince(uint64_t revision, HandOn handOn = HandOn::Small) const;
-    /// Everything; error 413 as above.
-    Result<Changes> snapshot(HandOn handOn = HandOn::Small) const;
+    /// Returns the changes after a revision. Fails with 410 if deletions since then are no longer known, and with 413 if the changes
+    /// exceed the size limit.
+    Result<Changes> changesSince(uint64_t revision, TransferLimit limit = TransferLimit::Regular) const;
+    /// Returns all objects; fails with 413 if they exceed the size limit.
+    Result<Changes> snapshot(TransferLimit limit = TransferLimit::Regular) const;
 
 private:
-    struct Held {
+    struct StoredObject {
         uint64_t version = 0;
-        std::vector<uint8_t> value; ///< CBOR; empty when too large to be handed on
+        std::vector<uint8_t> value; ///< CBOR; empty if it exceeds the size limit of any transfer
     };
     struct Deletion {
         std::string name;
         uint64_t revision = 0; ///< at or after the deletion
     };
-    Result<Changes> collect(uint64_t after, HandOn handOn) const;
-    void hold(const store::Object &object);
-    void drop(std::map<std::string, Held>::iterator held);
-    void noteDeleted(std::map<std::string, Held>::iterator held, uint64_t revision);
+    Result<Changes> collectChanges(uint64_t after, TransferLimit limit) const;
+    void insertObject(const store::Object &object);
+    void eraseObject(std::map<std::string, StoredObject>::iterator held);
+    void recordDeletion(std::map<std::string, StoredObject>::iterator held, uint64_t revision);
 
     ReplicaOptions m_options;
-    std::map<std::string, Held> m_objects;
+    std::map<std::string, StoredObject> m_objects;
     std::deque<Deletion> m_deletions; ///< the oldest first
     bool m_listed = false;
-    uint64_t m_deletionsFrom = 0; ///< all deletions after this revision are known
+    uint64_t m_deletionsKnownAfter = 0; ///< all deletions after this revision are known
     uint64_t m_revision = 0;
     store::Epoch m_epoch = 0;
     uint64_t m_digest = 0;
--- a/src/peer_directory.cpp
+++ b/src/peer_directory.cpp
@@ -10,21 +10,21 @@
 namespace
 {
 
-json entryOf(const Peer &peer)
+json entryJson(const Peer &peer)
 {
     return {{"address", peer.address.host + ":" + std::to_string(peer.address.port)}, {"failureDomain", peer.failureDomain}};
 }
 
-// Reads an entry; nothing when it does not parse.
-std::optional<Peer> peerOf(const platform::Object &object)
+// Parses an entry; returns nothing and logs the entry if it is malformed.
+std::optional<Peer> parsePeer(const platform::Object &object)
 {
     const auto &v = object.value;
-    const bool shaped = v.is_object() && v.contains("address") && v["address"].is_string() && v.contains("failureDomain") && v["failureDomain"].is_string();
-    const auto address = shaped ? http::parseAddress(v["address"].get<std::string>()) : std::nullopt;
+    const bool wellFormed = v.is_object() && v.contains("address") && v["address"].is_string() && v.contains("failureDomain") && v["failureDomain"].is_string();
+    const auto address = wellFormed ? http::parseAddress(v["address"].get<std::string>()) : std::nullopt;
     if (!address) {
         log::Line{log::Event::CatalogueEntryRejected}
             .add("entry", std::string(routerKind) + "/" + object.name)
-            .add("problems", "no address and failure domain");
+            .add("problems", "address or failureDomain is missing or malformed");
         return std::nullopt;
     }
     return Peer{object.name, v["failureDomain"].get<std::string>(), *address, object.version};
@@ -40,18 +40,18 @@
         co_return false;
     }
     std::vector<Peer> peers;
-    std::vector<Peer> farPeers;
+    std::vector<Peer> otherDomainPeers;
     std::optional<Peer> own;
     for (const auto &object : std::get<platform::Listing>(result).items) {
-        auto peer = peerOf(object);
+        auto peer = parsePeer(object);
         if (object.name == m_self.id) {
             own = peer ? peer : Peer{m_self.id, {}, {}, object.version};
         } else if (peer) {
-            (peer->failureDomain == m_self.failureDomain ? peers : farPeers).push_back(std::move(*peer));
+            (peer->failureDomain == m_self.failureDomain ? peers : otherDomainPeers).push_back(std::move(*peer));
         }
     }
-    m_peers = std::move(peers);
-    m_farPeers = std::move(farPeers);
+    m_domainPeers = std::move(peers);
+    m_otherDomainPeers = std::move(otherDomainPeers);
     const bool current = own && own->address == m_self.address && own->failureDomain == m_self.failureDomain;
     m_announceFailed = false;
     if (!current) {
@@ -61,11 +61,11 @@
     co_return true;
 }
 
-// Writes this router's entry over the version held, 0 where there is none.
-Task<bool> Directory::announce(uint64_t heldVersion)
+// Writes this router's entry over the expected version, 0 to create it. Returns false and logs the error if the write fails.
+Task<bool> Directory::announce(uint64_t expectedVersion)
 {
-    auto value = entryOf(m_self);
-    auto result = co_await m_api.put(routerKind, m_self.id, std::move(value), heldVersion);
+    auto value = entryJson(m_self);
+    auto result = co_await m_api.put(routerKind, m_self.id, std::move(value), expectedVersion);
     if (!ok(result)) {
         const auto &error = std::get<Error>(result);
         log::Line{log::Event::PlatformUnreachable}.add("op", "announce").add("code", int64_t{error.code});
@@ -73,7 +73,7 @@
     co_return ok(result);
 }
 
-Task<void> Directory::forget(Peer peer)
+Task<void> Directory::removeEntry(Peer peer)
 {
     auto result = co_await m_api.remove(routerKind, peer.id, peer.version);
     if (ok(result)) {
--- a/src/peer_directory.h
+++ b/src/peer_directory.h
@@ -1,5 +1,4 @@
-// Which other routers there are: each announces its address in the store, and
-// reads the others' now and then.
+// The directory of routers: each router announces its address in the store and reads the other routers' addresses at intervals.
 #pragma once
 
 #include "http.h"
@@ -13,22 +12,21 @@
 namespace yucca::peers
 {
 
-/// The kind of the routers' own entries.
+/// The kind of the routers' entries in the store.
 inline constexpr const char *routerKind = "router";
 
-/// A router as its entry tells.
+/// A router as described by its entry.
 struct Peer {
     std::string id;
     std::string failureDomain;
-    http::Address address; ///< for datagrams
+    http::Address address; ///< of its datagram socket
     uint64_t version = 0; ///< of the entry
     bool operator==(const Peer &) const = default;
 };
 
-/// Keeps one router's own entry, and what it knows of the others'. Listings may
-/// be answered by a lagging replica, at a tenth of a call's price: a peer that
-/// is known late is only told late. Where an entry of its own that a replica did
-/// not show stands in the way of the announcement, the next one is current.
+/// Maintains this router's entry and reads those of the others. Listings may come from a lagging replica, at a tenth of the price
+/// of a current read: a peer that is listed late is only informed late. If the announcement fails, because the replica did not
+/// show an existing entry of this router, the next listing is a current one.
 class Directory
 {
 public:
@@ -38,30 +36,28 @@
     {
     }
 
-    /// Lists the routers, and announces this one where its entry is missing or
-    /// differs. False when the store could not be reached.
+    /// Lists the routers, and announces this one if its entry is missing or differs. Returns false if the store could not be reached.
     Task<bool> refresh();
-    /// The others of this router's failure domain.
-    const std::vector<Peer> &peers() const
+    /// Returns the other routers of this router's failure domain.
+    const std::vector<Peer> &domainPeers() const
     {
-        return m_peers;
+        return m_domainPeers;
     }
-    /// Those of the other failure domains.
-    const std::vector<Peer> &farPeers() const
+    /// Returns the routers of other failure domains.
+    const std::vector<Peer> &otherDomainPeers() const
     {
-        return m_farPeers;
+        return m_otherDomainPeers;
     }
-    /// Removes the entry of a router that has been silent for long. One that
-    /// lives announces itself anew.
-    Task<void> forget(Peer peer);
+    /// Removes the entry of a router that has not been heard for long. A router that is still running announces itself again.
+    Task<void> removeEntry(Peer peer);
 
 private:
-    Task<bool> announce(uint64_t heldVersion);
+    Task<bool> announce(uint64_t expectedVersion);
 
     platform::ObjectApi &m_api;
     Peer m_self;
-    std::vector<Peer> m_peers;
-    std::vector<Peer> m_farPeers;
+    std::vector<Peer> m_domainPeers;
+    std::vector<Peer> m_otherDomainPeers;
     bool m_announceFailed = false;
 };
 
--- a/src/read_policy.h
+++ b/src/read_policy.h
@@ -1,5 +1,5 @@
-// How current the answers of a store's watches must be: cheap ones that may
-// lag while all is calm, current ones as soon as anything speaks against it.
+// Decides how current the answers of a store's watches must be: cheap answers that may lag in normal operation, current ones
+// after any sign of a problem.
 #pragma once
 
 #include "object_api.h"
@@ -10,26 +10,24 @@
 namespace yucca
 {
 
-/// Times of ReadPolicy.
+/// Intervals of ReadPolicy.
 struct ReadPolicyOptions {
-    /// In calm times a follower's watch is a current one this often: it shows
-    /// a replica that lags without a sign. Costs 0.1 calls/s a follower.
+    /// Interval of a follower's current watches in normal operation. They reveal a replica that lags without any other sign, and cost
+    /// 0.1 calls/s per follower.
     Millis checkEvery{10000};
-    /// After a sign of trouble all watches are current for this long: a store
-    /// that has dropped its history answers from old replicas for up to 12 s.
-    Millis doubtFor{20000};
-    /// A current watch that answers sooner had its news waiting: the replica
-    /// that was asked before it may not have told them. The store answers in 4 ms.
-    Millis waitingNews{30};
-    /// So long that alone is a reason for current watches. News also follow
-    /// each other that fast where many endpoints change at once; a replica that
-    /// is behind shows it in the next answer that may lag, as its revision is
-    /// below the newest known. With 20 s for this sign 60 routers made 5,250
-    /// calls on a calm day of 44 s.
-    Millis doubtOfWaiting{2500};
+    /// Duration of current watches after a sign of a problem. A store that has dropped its history answers from stale replicas for up
+    /// to 12 s.
+    Millis currentOnlyPeriod{20000};
+    /// If a current watch answers with changes sooner than this, the changes existed before the call, and the replica asked before may
+    /// not have reported them. The store answers in 4 ms.
+    Millis immediateAnswerMax{30};
+    /// Duration of current watches after such an answer, which alone is a weak sign: changes also follow each other this fast while
+    /// many endpoints change. A lagging replica shows in its next answer, whose revision is below the newest known one. A much longer
+    /// duration multiplies the store calls of normal operation.
+    Millis immediateAnswerPeriod{2500};
 };
 
-/// Shared by the followers of one store; used from the control thread.
+/// Shared by the followers of one store; used on the control thread.
 class ReadPolicy
 {
 public:
@@ -38,48 +36,47 @@
     {
     }
 
-    /// How current the next watch of a follower must be, whose last current
-    /// answer came at a moment.
+    /// Returns how current a follower's next watch must be, given the time of its last current answer.
     platform::Freshness choose(Clock::time_point lastCurrent, Clock::time_point now) const
     {
-        const bool check = now < m_doubtUntil || now - lastCurrent >= m_options.checkEvery;
-        return check ? platform::Freshness::Current : platform::Freshness::MayLag;
+        const bool needsCurrent = now < m_currentOnlyUntil || now - lastCurrent >= m_options.checkEvery;
+        return needsCurrent ? platform::Freshness::Current : platform::Freshness::MayLag;
     }
-    /// Something went wrong with the store: replicas may be far behind.
-    void doubt(Clock::time_point now)
+    /// Reports a problem with the store: replicas may lag far behind.
+    void requireCurrent(Clock::time_point now)
     {
-        doubtUntil(now + m_options.doubtFor);
+        requireCurrentUntil(now + m_options.currentOnlyPeriod);
     }
-    /// The store returned from an older copy: revisions known so far say nothing.
-    void restored(Clock::time_point now)
+    /// Reports that the store was restored from an older copy: known revisions are no longer comparable.
+    void recordRestore(Clock::time_point now)
     {
-        m_newest = 0;
-        doubt(now);
+        m_newestRevision = 0;
+        requireCurrent(now);
     }
-    /// Learns from an answered watch: the store's revision in it, whether it
-    /// had news, when it was asked for, and what the follower's answer before it was.
-    void answered(platform::Freshness freshness, uint64_t revision, bool news, Clock::time_point askedAt, Clock::time_point now,
-                  platform::Freshness before = platform::Freshness::MayLag)
+    /// Evaluates an answered watch: its freshness and revision, whether it had changes, when it was requested, and the freshness of the
+    /// follower's previous answer.
+    void answered(platform::Freshness freshness, uint64_t revision, bool hasChanges, Clock::time_point askedAt, Clock::time_point now,
+                  platform::Freshness previous = platform::Freshness::MayLag)
     {
-        const bool behind = freshness == platform::Freshness::MayLag && revision < m_newest;
-        const bool replicaBefore = freshness == platform::Freshness::Current && before == platform::Freshness::MayLag;
+        const bool behind = freshness == platform::Freshness::MayLag && revision < m_newestRevision;
+        const bool previousFromReplica = freshness == platform::Freshness::Current && previous == platform::Freshness::MayLag;
         if (behind) {
-            doubt(now);
-        } else if (replicaBefore && news && now - askedAt < m_options.waitingNews) {
-            doubtUntil(now + m_options.doubtOfWaiting);
+            requireCurrent(now);
+        } else if (previousFromReplica && hasChanges && now - askedAt < m_options.immediateAnswerMax) {
+            requireCurrentUntil(now + m_options.immediateAnswerPeriod);
         }
-        m_newest = std::max(m_newest, revision);
+        m_newestRevision = std::max(m_newestRevision, revision);
     }
 
 private:
-    void doubtUntil(Clock::time_point end)
+    void requireCurrentUntil(Clock::time_point end)
     {
-        m_doubtUntil = std::max(m_doubtUntil, end);
+        m_currentOnlyUntil = std::max(m_currentOnlyUntil, end);
     }
 
     ReadPolicyOptions m_options;
-    Clock::time_point m_doubtUntil{};
-    uint64_t m_newest = 0; ///< the highest revision that any answer told
+    Clock::time_point m_currentOnlyUntil{};
+    uint64_t m_newestRevision = 0; ///< the highest revision in any answer
 };
 
 } // namespace yucca
--- a/src/shared_replica.cpp
+++ b/src/shared_replica.cpp
@@ -10,13 +10,12 @@
 namespace
 {
 
-/// A state that could not be had is not asked for again so soon: each word of
-/// it would end the follower's pause after a failed call. Without this 58
-/// routers, a third of them refused by the store, made 330 calls in 4 s.
-constexpr Millis notHadAgainAfter{1000};
-constexpr Millis trailEvery{500}; ///< revisions are remembered this often: six of them span the time until they are trusted
+/// Minimum delay before a state that could not be fetched is requested again. Without it, each announcement of that state ends
+/// the follower's retry delay, and routers that the store refuses flood it with calls.
+constexpr Millis failedFetchRetryDelay{1000};
+constexpr Millis revisionSampleInterval{500}; ///< six samples span watchRevisionMinAge
 
-double drawnSpread()
+double randomJitter()
 {
     std::minstd_rand random{std::random_device{}()};
     return std::uniform_real_distribution<double>(0, 1)(random);
@@ -28,189 +27,192 @@
     : m_kind(std::move(kind))
     , m_rank(std::move(rank))
     , m_source(source)
-    , m_freshness(options, drawnSpread())
+    , m_freshness(options, randomJitter())
 {
 }
 
-void SharedReplica::listed(const store::Listing &listing, store::Freshness freshness, Clock::time_point now)
+void SharedReplica::applyListing(const store::Listing &listing, store::Freshness freshness, Clock::time_point now)
 {
     m_listed = true;
     if (listing.epoch != m_objects.epoch()) {
-        m_notHadDigest = 0;
+        m_unfetchedDigest = 0;
     }
-    m_objects.listed(listing);
+    m_objects.applyListing(listing);
     m_lastChange = listing.revision;
-    m_trail.clear();
-    m_newer.reset();
+    m_confirmedRevisions.clear();
+    m_newerPeerState.reset();
     if (freshness == store::Freshness::MayLag) {
-        m_freshness.expectFrom(now);
+        m_freshness.expectConfirmationsFrom(now);
         return;
     }
-    noteConfirmed(listing.revision, now, now);
+    applyConfirmation(listing.revision, now, now);
     if (onNews) {
         onNews();
     }
 }
 
-void SharedReplica::changed(const store::Object &object, bool deleted, uint64_t revision)
+void SharedReplica::applyChange(const store::Object &object, bool deleted, uint64_t revision)
 {
-    m_objects.changed(object, deleted, revision);
+    m_objects.applyChange(object, deleted, revision);
     m_lastChange = std::max(m_lastChange, revision);
 }
 
-void SharedReplica::confirmed(uint64_t revision, Clock::time_point at, bool news)
+void SharedReplica::recordConfirmation(uint64_t revision, Clock::time_point at, bool hasChanges)
 {
-    noteConfirmed(revision, at, at);
-    if (m_newer && m_newer->position <= Position{m_objects.epoch(), revision}) {
-        m_newer.reset();
+    applyConfirmation(revision, at, at);
+    if (m_newerPeerState && m_newerPeerState->position <= Position{m_objects.epoch(), revision}) {
+        m_newerPeerState.reset();
     }
-    if (news && onNews) {
+    if (hasChanges && onNews) {
         onNews();
     }
 }
 
-void SharedReplica::noteConfirmed(uint64_t revision, Clock::time_point at, Clock::time_point now)
+void SharedReplica::applyConfirmation(uint64_t revision, Clock::time_point at, Clock::time_point now)
 {
-    m_objects.reached(revision);
-    m_freshness.confirmed(at);
-    if (m_trail.empty() || now - m_trail.back().at >= trailEvery) {
-        m_trail.push_back({now, m_objects.revision()});
+    m_objects.advanceTo(revision);
+    m_freshness.recordConfirmation(at);
+    if (m_confirmedRevisions.empty() || now - m_confirmedRevisions.back().at >= revisionSampleInterval) {
+        m_confirmedRevisions.push_back({now, m_objects.revision()});
     }
-    while (m_trail.size() > 1 && now - m_trail[1].at >= m_freshness.options().trustedAfter) {
-        m_trail.pop_front();
+    while (m_confirmedRevisions.size() > 1 && now - m_confirmedRevisions[1].at >= m_freshness.options().watchRevisionMinAge) {
+        m_confirmedRevisions.pop_front();
     }
     if (onConfirmed) {
         onConfirmed(m_freshness.confirmedAt());
     }
 }
 
-Clock::time_point SharedReplica::askAt(Clock::time_point now)
+Clock::time_point SharedReplica::queryDueAt(Clock::time_point now)
 {
-    const auto place = m_rank(now);
-    if (place && !m_wasShared) {
-        m_freshness.expectFrom(now);
+    const auto currentRank = m_rank(now);
+    if (currentRank && !m_wasShared) {
+        m_freshness.expectConfirmationsFrom(now);
     }
-    m_wasShared = place.has_value();
-    return place ? m_freshness.askAt(*place) : m_freshness.confirmedAt();
+    m_wasShared = currentRank.has_value();
+    return currentRank ? m_freshness.queryDueAt(*currentRank) : m_freshness.confirmedAt();
 }
 
 uint64_t SharedReplica::watchFrom(Clock::time_point now) const
 {
-    const bool old = !m_trail.empty() && now - m_trail.front().at >= m_freshness.options().trustedAfter;
-    return old ? std::max(m_lastChange, m_trail.front().revision) : m_lastChange;
+    const bool old = !m_confirmedRevisions.empty() && now - m_confirmedRevisions.front().at >= m_freshness.options().watchRevisionMinAge;
+    return old ? std::max(m_lastChange, m_confirmedRevisions.front().revision) : m_lastChange;
 }
 
-void SharedReplica::heard(const Confirmation &word, const http::Address &from, Clock::time_point now)
+void SharedReplica::receiveConfirmation(const Confirmation &confirmation, const http::Address &from, Clock::time_point now)
 {
     if (!m_listed) {
-        return; // nothing is held yet that a word could speak of
+        return; // no state is held yet that the confirmation could refer to
     }
-    // Versions of two epochs may be equal and stand for different objects.
-    if (word.epoch < m_objects.epoch()) {
+    // Equal versions of different epochs may belong to different objects.
+    if (confirmation.epoch < m_objects.epoch()) {
         return;
     }
-    if (word.epoch == m_objects.epoch() && word.digest == m_objects.digest()) {
-        if (word.at > m_freshness.confirmedAt()) {
-            const bool wasDue = askAt(now) <= now;
-            noteConfirmed(word.revision, word.at, now);
-            // Only a confirmation that holds ends a pause. In an outage words
-            // still get a little newer while they spread: each made a router
-            // ask the silent store again, 26 times a second.
-            if (wasDue && askAt(now) > now) {
+    if (confirmation.epoch == m_objects.epoch() && confirmation.digest == m_objects.digest()) {
+        if (confirmation.at > m_freshness.confirmedAt()) {
+            const bool wasDue = queryDueAt(now) <= now;
+            applyConfirmation(confirmation.revision, confirmation.at, now);
+            // Only a confirmation that is recent enough ends a wait. During an outage, confirmations still advance slightly while they
+            // spread; if each ended the wait, routers would call the unreachable store many times per second.
+            if (wasDue && queryDueAt(now) > now) {
                 m_wake.notifyAll();
             }
         }
         return;
     }
-    if (word.digest == m_notHadDigest && now - m_notHadAt < notHadAgainAfter) {
+    if (confirmation.digest == m_unfetchedDigest && now - m_unfetchedAt < failedFetchRetryDelay) {
         return;
     }
-    const Position told{word.epoch, word.revision};
-    const bool newer = told > position() && (!m_newer || told > m_newer->position);
+    const Position announced{confirmation.epoch, confirmation.revision};
+    const bool newer = announced > position() && (!m_newerPeerState || announced > m_newerPeerState->position);
     if (newer) {
-        const bool first = !m_newer;
-        m_newer = Newer{from, told, word.digest, word.at};
+        const bool first = !m_newerPeerState;
+        m_newerPeerState = PeerState{from, announced, confirmation.digest, confirmation.at};
         if (first) {
             m_wake.notifyAll();
         }
     }
 }
 
-std::optional<Confirmation> SharedReplica::told() const
+std::optional<Confirmation> SharedReplica::currentConfirmation() const
 {
-    if (!confirmed()) {
+    if (!isConfirmed()) {
         return std::nullopt;
     }
     return Confirmation{m_kind, m_objects.revision(), m_objects.digest(), m_freshness.confirmedAt(), m_objects.epoch()};
 }
 
-Task<Fetched> SharedReplica::fetch(HandOn handOn, FetchSink sink)
+Task<FetchOutcome> SharedReplica::fetch(TransferLimit limit, FetchSink sink)
 {
-    if (!m_newer) {
-        co_return Fetched::NotHad;
+    if (!m_newerPeerState) {
+        co_return FetchOutcome::Unavailable;
     }
-    const Newer asked = *m_newer;
-    m_newer.reset();
-    auto result = co_await m_source.fetch(asked.from, m_kind, position(), handOn);
+    const PeerState requested = *m_newerPeerState;
+    m_newerPeerState.reset();
+    auto result = co_await m_source.fetch(requested.from, m_kind, position(), limit);
     if (!ok(result)) {
-        noteNotHad(asked);
+        recordFetchFailure(requested);
         const auto &error = std::get<Error>(result);
-        log::Line{log::Event::ChangesNotHad}.add("kind", m_kind).add("peer", asked.from.host).add("code", int64_t{error.code}).add("why", error.message);
-        co_return Fetched::NotHad;
+        log::Line{log::Event::ChangesNotHad}.add("kind", m_kind).add("peer", requested.from.host).add("code", int64_t{error.code}).add("why", error.message);
+        co_return FetchOutcome::Unavailable;
     }
     const auto &changes = std::get<Changes>(result);
-    const bool same = changes.whole ? replace(changes, sink) : take(changes, sink);
-    if (!same) {
-        noteNotHad(asked);
-        log::Line{log::Event::ChangesNotHad}.add("kind", m_kind).add("peer", asked.from.host).add("code", int64_t{409}).add("why", "it holds other objects");
-        co_return Fetched::Differs;
-    }
-    noteConfirmed(changes.revision, asked.at, Clock::now());
+    const bool identical = changes.isSnapshot ? replaceAll(changes, sink) : applyChanges(changes, sink);
+    if (!identical) {
+        recordFetchFailure(requested);
+        log::Line{log::Event::ChangesNotHad}
+            .add("kind", m_kind)
+            .add("peer", requested.from.host)
+            .add("code", int64_t{409})
+            .add("why", "the peer holds different objects");
+        co_return FetchOutcome::Mismatch;
+    }
+    applyConfirmation(changes.revision, requested.at, Clock::now());
     if (onNews) {
         onNews();
     }
-    co_return Fetched::Whole;
+    co_return FetchOutcome::Complete;
 }
 
-void SharedReplica::noteNotHad(const Newer &asked)
+void SharedReplica::recordFetchFailure(const PeerState &requested)
 {
-    m_notHadDigest = asked.digest;
-    m_notHadAt = Clock::now();
+    m_unfetchedDigest = requested.digest;
+    m_unfetchedAt = Clock::now();
 }
 
-// Takes all that the teller holds of a later epoch; true when both hold the same then.
-bool SharedReplica::replace(const Changes &changes, const FetchSink &sink)
+// Replaces the held objects by all objects of a peer with a later epoch. Returns true if both hold the same objects then.
+bool SharedReplica::replaceAll(const Changes &changes, const FetchSink &sink)
 {
     if (changes.epoch <= m_objects.epoch()) {
         return false;
     }
     store::Listing listing{changes.revision, {}, false, changes.epoch};
-    for (const auto &handed : changes.objects) {
-        listing.items.push_back({m_kind, handed.name, handed.version, handed.value});
+    for (const auto &received : changes.objects) {
+        listing.items.push_back({m_kind, received.name, received.version, received.value});
     }
-    m_objects.listed(listing);
+    m_objects.applyListing(listing);
     m_lastChange = listing.revision;
-    m_trail.clear();
+    m_confirmedRevisions.clear();
     sink.replaced(listing);
     return m_objects.digest() == changes.digest;
 }
 
-// Takes what is newer than what is held; true when both hold the same then.
-bool SharedReplica::take(const Changes &changes, const FetchSink &sink)
+// Applies the changes that are newer than the held objects. Returns true if both hold the same objects then.
+bool SharedReplica::applyChanges(const Changes &changes, const FetchSink &sink)
 {
     if (changes.epoch != m_objects.epoch()) {
         return false;
     }
-    for (const auto &handed : changes.objects) {
-        const store::Object object{m_kind, handed.name, handed.version, handed.value};
-        if (m_objects.changed(object, false, handed.version)) {
-            m_lastChange = std::max(m_lastChange, handed.version);
+    for (const auto &received : changes.objects) {
+        const store::Object object{m_kind, received.name, received.version, received.value};
+        if (m_objects.applyChange(object, false, received.version)) {
+            m_lastChange = std::max(m_lastChange, received.version);
             sink.changed(object, false);
         }
     }
     for (const auto &name : changes.deleted) {
         const store::Object object{m_kind, name, m_objects.versionOf(name), {}};
-        if (object.version <= changes.revision && m_objects.changed(object, true, changes.revision)) {
+        if (object.version <= changes.revision && m_objects.applyChange(object, true, changes.revision)) {
             sink.changed(object, true);
         }
     }
--- a/src/shared_replica.h
+++ b/src/shared_replica.h
@@ -1,6 +1,5 @@
-// What the routers of a failure domain know together of one kind of objects:
-// the objects as this router holds them, how fresh they are, and which other
-// router told of a newer state.
+// The state of one kind of objects that the routers of a failure domain share: the objects held by this router, the time of the
+// store's last confirmation, and the peer that announced a newer state.
 #pragma once
 
 #include "freshness.h"
@@ -16,8 +15,7 @@
 namespace yucca::replica
 {
 
-/// What a router tells others of a kind: what it holds, and when the store
-/// last confirmed that nothing is missing.
+/// What a router announces to its peers about one kind: the state it holds, and when the store last confirmed that no change is missing.
 struct Confirmation {
     std::string kind;
     uint64_t revision = 0;
@@ -27,35 +25,34 @@
     bool operator==(const Confirmation &) const = default;
 };
 
-/// How getting changes from another router ended.
-enum class Fetched {
-    Whole, ///< both hold the same now
-    NotHad, ///< it did not answer, or hands on no more
-    Differs, ///< one of the two holds something wrong
+/// Result of fetching changes from a peer.
+enum class FetchOutcome {
+    Complete, ///< both routers hold the same objects now
+    Unavailable, ///< the peer did not answer, or refused to send the changes
+    Mismatch, ///< one of the two routers holds wrong objects
 };
 
-/// Where changes are had from other routers.
+/// Fetches changes from other routers.
 class ChangeSource
 {
 public:
     virtual ~ChangeSource() = default;
-    /// The changes of a kind after a position, as a router holds them; all of it
-    /// where the position is of another epoch.
-    virtual Task<Result<Changes>> fetch(http::Address from, std::string kind, Position since, HandOn handOn) = 0;
+    /// Returns the changes of a kind after a position, as the router at the address from holds them; all objects if the position is
+    /// of another epoch. Fails with the peer's status code, or 503 if the peer cannot be reached.
+    virtual Task<Result<Changes>> fetch(http::Address from, std::string kind, Position since, TransferLimit limit) = 0;
 };
 
-/// Takes what was had from another router.
+/// Receives the changes fetched from another router.
 struct FetchSink {
     std::function<void(const store::Object &object, bool deleted)> changed;
-    std::function<void(const store::Listing &listing)> replaced; ///< everything, of a later epoch
+    std::function<void(const store::Listing &listing)> replaced; ///< receives all objects of a later epoch
 };
 
-/// Shared by the kind's follower, the exchange with other routers and the
-/// server that hands changes on; used from the control thread.
+/// Used by the follower of the kind, the exchange with peers and the change server, all on the control thread.
 class SharedReplica
 {
 public:
-    /// A router's place among those it hears, the first by name 0; nothing when it hears nobody.
+    /// Returns the rank by name of this router among the routers it hears, 0 for the first; nothing if it hears none.
     using Rank = std::function<std::optional<std::size_t>(Clock::time_point now)>;
 
     SharedReplica(std::string kind, Rank rank, ChangeSource &source, FreshnessOptions options = {});
@@ -65,113 +62,111 @@
         return m_kind;
     }
 
-    /// Called by the follower with the store's answers. A listing that may lag
-    /// confirms nothing: neighbours, or a watch, tell whether it is current.
-    void listed(const store::Listing &listing, store::Freshness freshness, Clock::time_point now);
-    void changed(const store::Object &object, bool deleted, uint64_t revision);
-    /// The store confirmed that nothing is missing up to a revision; with news, others are told at once.
-    void confirmed(uint64_t revision, Clock::time_point at, bool news);
+    /// Applies a listing that the follower received. A listing from a replica confirms nothing: peers or a watch show whether it is current.
+    void applyListing(const store::Listing &listing, store::Freshness freshness, Clock::time_point now);
+    /// Applies one change from an answer that the follower received and that covers changes up to revision.
+    void applyChange(const store::Object &object, bool deleted, uint64_t revision);
+    /// Records that the store confirmed that no change is missing up to a revision. If there were changes, peers are informed at once.
+    void recordConfirmation(uint64_t revision, Clock::time_point at, bool hasChanges);
 
-    /// True while other routers are heard: what they know counts.
+    /// Returns true while other routers are heard, so that their confirmations count.
     bool shared(Clock::time_point now) const
     {
         return m_rank(now).has_value();
     }
-    /// True once the store has confirmed what is held, to whomever.
-    bool confirmed() const
+    /// Returns true once the store has confirmed the held state, to this router or to a peer.
+    bool isConfirmed() const
     {
         return m_freshness.confirmedAt() != Clock::time_point{};
     }
-    /// The place among those heard; 0 when nobody is.
+    /// Returns the rank among the routers heard; 0 if none is heard.
     std::size_t rank(Clock::time_point now) const
     {
         return m_rank(now).value_or(0);
     }
-    /// When the follower is to ask the store.
-    Clock::time_point askAt(Clock::time_point now);
-    /// The wait of its watches while other routers are heard.
+    /// Returns when the follower must query the store.
+    Clock::time_point queryDueAt(Clock::time_point now);
+    /// Returns the watch timeout used while other routers are heard.
     Millis watchWait() const
     {
         return m_freshness.options().watchWait;
     }
-    /// The revision to watch from: that of the last change, or a newer one that is old enough to be trusted.
+    /// Returns the revision to watch from: that of the last change, or a later confirmed one that has reached watchRevisionMinAge.
     uint64_t watchFrom(Clock::time_point now) const;
     Clock::time_point confirmedAt() const
     {
         return m_freshness.confirmedAt();
     }
 
-    /// Takes another router's word. One that holds the same confirms what is
-    /// held here; one that holds something newer is asked for it.
-    void heard(const Confirmation &word, const http::Address &from, Clock::time_point now);
-    /// What to tell others; nothing before the store has confirmed anything.
-    std::optional<Confirmation> told() const;
-    /// True when another router told of a later epoch of the store.
+    /// Processes a peer's confirmation. A peer that holds the same objects confirms the held state; a peer with a newer state
+    /// becomes the source of the next fetch.
+    void receiveConfirmation(const Confirmation &confirmation, const http::Address &from, Clock::time_point now);
+    /// Returns the confirmation to announce to peers; nothing before the store has confirmed the held state.
+    std::optional<Confirmation> currentConfirmation() const;
+    /// Returns true if a peer announced a later epoch of the store.
     bool behindEpoch() const
     {
-        return m_newer && m_newer->position.epoch > m_objects.epoch();
+        return m_newerPeerState && m_newerPeerState->position.epoch > m_objects.epoch();
     }
-    /// True when another router told of something newer.
-    bool lacks() const
+    /// Returns true if a peer announced a newer state.
+    bool behindPeer() const
     {
-        return m_newer.has_value();
+        return m_newerPeerState.has_value();
     }
-    /// Gets what is newer from the router that told of it. Unless it is had
-    /// whole, the store has to be asked.
-    Task<Fetched> fetch(HandOn handOn, FetchSink sink);
-    /// True once the state is held that could not be had from its teller.
-    bool holdsTold() const
+    /// Fetches the newer state from the peer that announced it. On any result but Complete, the store must be queried.
+    Task<FetchOutcome> fetch(TransferLimit limit, FetchSink sink);
+    /// Returns true if the held state is the one that could not be fetched from a peer.
+    bool hasUnfetchedState() const
     {
-        return m_objects.digest() == m_notHadDigest;
+        return m_objects.digest() == m_unfetchedDigest;
     }
-    /// What another router lacks that holds a position.
-    Result<Changes> changesSince(Position since, HandOn handOn) const
+    /// Returns what changed after a peer's position, or all objects if the epochs differ. Fails with 410 or 413 as ObjectReplica does.
+    Result<Changes> changesSince(Position since, TransferLimit limit) const
     {
-        return since.epoch == m_objects.epoch() ? m_objects.changesSince(since.revision, handOn) : m_objects.snapshot(handOn);
+        return since.epoch == m_objects.epoch() ? m_objects.changesSince(since.revision, limit) : m_objects.snapshot(limit);
     }
 
-    /// Wakes the follower when something newer is told of, and when a
-    /// confirmation ends a silence.
+    /// Wakes the follower when a peer announces a newer state, and when a recent confirmation follows a time without one.
     Notifier &wake()
     {
         return m_wake;
     }
-    /// Called with each confirmation, and after news: others are to be told soon.
+    /// onConfirmed is called with each confirmation, onNews after changes that peers must be informed of soon.
     std::function<void(Clock::time_point at)> onConfirmed;
     std::function<void()> onNews;
 
 private:
-    struct Newer {
+    struct PeerState {
         http::Address from;
         Position position;
         uint64_t digest = 0;
         Clock::time_point at{};
     };
-    struct Trusted {
+    struct ConfirmedRevision {
         Clock::time_point at;
         uint64_t revision = 0;
     };
-    void noteNotHad(const Newer &asked);
-    void noteConfirmed(uint64_t revision, Clock::time_point at, Clock::time_point now);
+    void recordFetchFailure(const PeerState &requested);
+    void applyConfirmation(uint64_t revision, Clock::time_point at, Clock::time_point now);
     Position position() const
     {
         return {m_objects.epoch(), m_objects.revision()};
     }
-    bool take(const Changes &changes, const FetchSink &sink);
-    bool replace(const Changes &changes, const FetchSink &sink);
+    bool applyChanges(const Changes &changes, const FetchSink &sink);
+    bool replaceAll(const Changes &changes, const FetchSink &sink);
 
     std::string m_kind;
     Rank m_rank;
     ChangeSource &m_source;
     Freshness m_freshness;
     ObjectReplica m_objects;
-    std::optional<Newer> m_newer;
-    uint64_t m_notHadDigest = 0; ///< of the state that could not be had from its teller
-    Clock::time_point m_notHadAt{};
+    std::optional<PeerState> m_newerPeerState;
+    uint64_t m_unfetchedDigest = 0; ///< digest of the state that could not be fetched from a peer
+    Clock::time_point m_unfetchedAt{};
     bool m_listed = false;
     bool m_wasShared = false;
-    uint64_t m_lastChange = 0; ///< a watch from here tells nothing again
-    std::deque<Trusted> m_trail; ///< revisions by when they were confirmed, the oldest first
+    uint64_t m_lastChange = 0; ///< revision of the last change; a watch from here repeats no change
+    std::deque<ConfirmedRevision> m_confirmedRevisions; ///< sampled by confirmation time, the oldest first
     Notifier m_wake;
 };
 
--- a/src/store.h
+++ b/src/store.h
@@ -1,5 +1,4 @@
-// The objects of the platform's store as the product sees them: versioned
-// values by kind and name, listings, watches and the errors of calls.
+// The objects of the platform's store: versioned values by kind and name, listings, watches and error codes.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -13,13 +12,12 @@
 
 /// How current an answer must be.
 enum class Freshness {
-    Current, ///< what the store holds now
-    MayLag, ///< what a replica of the store holds: cheaper, and at times seconds old
+    Current, ///< the store's present state
+    MayLag, ///< the state of a replica: cheaper, but it may lag by seconds
 };
 
-/// Counts the store's returns from an older copy of itself. Revisions are
-/// comparable only within one epoch: after a return those since the copy are
-/// given out again. 0 where the store does not tell.
+/// Counts how often the store was restored from an older copy. Revisions are comparable only within one epoch, because a restored
+/// store assigns the revisions after the copy again. 0 if the store does not report epochs.
 using Epoch = uint64_t;
 
 /// One stored object. Its version is the store revision of its last write.
@@ -28,10 +26,10 @@
     std::string name;
     uint64_t version = 0;
     nlohmann::json value;
-    Epoch epoch = 0; ///< of the answer that it came in; not told of a listing's or a watch's objects
+    Epoch epoch = 0; ///< epoch of the answer that contained the object; unset for objects of a listing or a watch
 };
 
-/// A change seen by a watch.
+/// A change reported by a watch.
 struct WatchEvent {
     bool deleted = false;
     uint64_t revision = 0;
@@ -45,19 +43,19 @@
     Epoch epoch = 0;
 };
 
-/// A list answer: the objects of a kind as of a revision.
+/// A list answer: the objects of a kind at a revision.
 struct Listing {
     uint64_t revision = 0;
     std::vector<Object> items;
-    bool more = false; ///< a page: go on after the last item's name
+    bool more = false; ///< true if another page follows, after the name of the last item
     Epoch epoch = 0;
 };
 
-/// Error codes the store gives (also used on the wire).
+/// Error codes of the store, also used on the wire.
 inline constexpr int NotFound = 404;
 inline constexpr int Conflict = 409;
-inline constexpr int Gone = 410; ///< a watch from a revision no longer kept: list again
+inline constexpr int Gone = 410; ///< the revision to watch from is no longer kept; list again
 inline constexpr int Unavailable = 503;
-inline constexpr int AnswerLost = 504; ///< the call was sent; it may have taken effect
+inline constexpr int AnswerLost = 504; ///< the call was sent and may have taken effect
 
 } // namespace yucca::store
--- a/tests/follower_rig.h
+++ b/tests/follower_rig.h
@@ -1,4 +1,4 @@
-// A follower with a neighbour that follows the same store.
+// Test rig: a follower with a neighbour that follows the same store.
 #pragma once
 
 #include "change_exchange.h"
@@ -13,26 +13,26 @@
 namespace yucca::rig
 {
 
-/// Hands on what another replica holds, or fails.
+/// Serves the changes of another replica, or fails if peer is null.
 class ReplicaSource : public replica::ChangeSource
 {
 public:
-    Task<Result<replica::Changes>> fetch(http::Address from, std::string, replica::Position since, replica::HandOn handOn) override
+    Task<Result<replica::Changes>> fetch(http::Address from, std::string, replica::Position since, replica::TransferLimit limit) override
     {
-        ++asked;
+        ++fetches;
         lastFrom = from;
         co_await sleepFor(Millis(1));
         if (!peer) {
             co_return Error{503, "no answer"};
         }
-        co_return peer->changesSince(since, handOn);
+        co_return peer->changesSince(since, limit);
     }
     const replica::SharedReplica *peer = nullptr;
-    int asked = 0;
+    int fetches = 0;
     http::Address lastFrom;
 };
 
-/// The object API, counting what a follower asks of it.
+/// An object API that counts a follower's calls.
 class CountingApi : public platform::LocalObjectApi
 {
 public:
@@ -48,20 +48,19 @@
     {
         ++watches;
         lastWait = timeout;
-        co_await sleepFor(takes);
+        co_await sleepFor(watchLatency);
         co_return co_await LocalObjectApi::watch(kind, from, timeout, freshness, cancellation);
     }
     int lists = 0;
     platform::Freshness lastListFreshness = platform::Freshness::Current;
     int watches = 0;
     Millis lastWait{};
-    Millis takes{1}; ///< a watch
+    Millis watchLatency{1}; ///< time before a watch is passed to the store
 };
 
 inline const http::Address neighbour{"10.0.0.2", 7000};
 
-/// A follower whose router is the sixth of its neighbourhood, and one neighbour
-// that follows the same store.
+/// A follower whose router has rank 5 among its neighbours, and one neighbour that follows the same store.
 struct FollowerRig {
     FollowerRig()
     {
@@ -69,8 +68,8 @@
         options.shared = &own;
         follower = std::make_unique<Follower<RecordingSink>>(api, "k", sink, options);
     }
-    // The neighbour lists or watches, and its word is heard.
-    void neighbourAsks(Loop &loop)
+    // Runs one step of the neighbour's follower, and a second one if the store has not confirmed its state yet.
+    void neighbourQueriesStore(Loop &loop)
     {
         if (!neighbourFollower) {
             FollowerOptions neighbourOptions;
@@ -78,19 +77,19 @@
             neighbourFollower = std::make_unique<Follower<RecordingSink>>(neighbourApi, "k", neighbourSink, neighbourOptions);
         }
         require(loop.run(neighbourFollower->step()));
-        if (!other.confirmed()) {
+        if (!other.isConfirmed()) {
             require(loop.run(neighbourFollower->step()));
         }
     }
-    // This router lists, and its first watch confirms the listing.
+    // Lets this router list the objects, and confirms the listing.
     void start(Loop &loop)
     {
         require(loop.run(follower->step()));
-        own.confirmed(own.watchFrom(Clock::now()), Clock::now(), false);
+        own.recordConfirmation(own.watchFrom(Clock::now()), Clock::now(), false);
     }
-    void hear()
+    void receiveNeighbourConfirmation()
     {
-        own.heard(*other.told(), neighbour, Clock::now());
+        own.receiveConfirmation(*other.currentConfirmation(), neighbour, Clock::now());
     }
 
     store::ObjectStore store;
--- a/tests/recording_sink.h
+++ b/tests/recording_sink.h
@@ -1,4 +1,4 @@
-// Helpers of the tests of followers: what a follower told, and waits.
+// Helpers for tests of followers: a recording sink and waiting coroutines.
 #pragma once
 
 #include "follower.h"
@@ -9,7 +9,7 @@
 namespace yucca::rig
 {
 
-/// Writes down what a follower tells.
+/// Records the updates of a follower.
 struct RecordingSink {
     std::vector<std::string> news;
     void listed(const platform::Listing &listing, platform::Freshness)
@@ -37,14 +37,14 @@
     }
 };
 
-/// True once a time has passed.
+/// Returns true after the given time.
 inline Task<bool> passed(Millis time)
 {
     co_await sleepFor(time);
     co_return true;
 }
 
-/// True once a follower has been stopped.
+/// Runs a follower and returns true once it has been stopped.
 inline Task<bool> ranToItsEnd(Follower<RecordingSink> &follower)
 {
     co_await follower.run();
--- a/tests/test_peers.cpp
+++ b/tests/test_peers.cpp
@@ -1,5 +1,4 @@
-// Routers that tell each other loads: the datagram, the directory in the
-// store, and what is believed of it.
+// Tests of the exchange of loads between routers: the datagram, the directory of routers in the store, and the checks on what is received.
 #include "load_exchange.h"
 #include "local_object_api.h"
 
@@ -37,30 +36,30 @@
     Clock::time_point now{std::chrono::hours(1)};
 };
 
-TEST(LoadDigest, ReportsComeOutAsTheyWentInWithTheirAge)
+TEST(LoadDigest, DecodingAnEncodedDatagramReturnsTheReportsWithTheirAge)
 {
     const std::vector<peers::LoadReport> reports{{"i-1", 12, now - Millis(250)}, {"i-2", 0, now - Millis(700)}};
-    const auto later = now + std::chrono::seconds(9); // the receiver's clock is another one
+    const auto later = now + std::chrono::seconds(9); // the receiver's clock differs
     const auto decoded = peers::decode(peers::encode({reports, {}, {}}, now), later);
     CHECK(ok(decoded));
     const std::vector<peers::LoadReport> expected{{"i-1", 12, later - Millis(250)}, {"i-2", 0, later - Millis(700)}};
     CHECK(std::get<peers::Digest>(decoded).loads == expected);
 }
 
-TEST(LoadDigest, WhereThereAreTooManyTheNewestGoIntoOnePacket)
+TEST(LoadDigest, WithTooManyReportsOnlyTheNewestAreEncodedInOnePacket)
 {
     std::vector<peers::LoadReport> reports;
     for (int i = 0; i < 500; ++i) {
         reports.push_back({"i-0123456789-" + std::to_string(i), 50, now - Millis(i)});
     }
     const auto datagram = peers::encode({reports, {}, {}}, now);
-    CHECK(datagram.size() < 1472); // an Ethernet frame's datagram
+    CHECK(datagram.size() < 1472); // payload of an Ethernet frame
     const auto decoded = std::get<peers::Digest>(peers::decode(datagram, now)).loads;
-    LONGS_EQUAL(peers::mostReports, decoded.size());
+    LONGS_EQUAL(peers::maxLoadReports, decoded.size());
     STRCMP_EQUAL("i-0123456789-0", decoded.front().endpoint.c_str());
 }
 
-TEST(LoadDigest, WhatIsNoListOfReportsIsRefused)
+TEST(LoadDigest, MalformedReportsAreRejected)
 {
     using nlohmann::json;
     const std::vector<json> wrong{json(7),
@@ -71,11 +70,11 @@
                                   json::parse(R"([["i",1,-2]])"),
                                   json::parse(R"([["i",1,99999999]])"),
                                   json::parse(R"([[["i"],1,2]])"),
-                                  json(std::vector<json>(peers::mostReports + 1, json::parse(R"(["i",1,2])")))};
+                                  json(std::vector<json>(peers::maxLoadReports + 1, json::parse(R"(["i",1,2])")))};
     for (const auto &w : wrong) {
         CHECK(!ok(peers::decode(json::to_cbor(w), now)));
     }
-    // A list of a map that says it has 8e18 members, as fuzzing found it.
+    // An array containing a map with a claimed size of 8e18, found by fuzzing.
     const std::vector<uint8_t> excessive{0x97, 0x00, 0x10, 0xbb, 0x6e, 0x83, 0xb9, 0xd2, 0x00, 0xed, 0x00, 0x66, 0x6e, 0x83, 0xb9, 0xd2, 0x00};
     CHECK(!ok(peers::decode(excessive, now)));
     const std::vector<uint8_t> noise{0x9f, 0xff, 0x00, 0x13};
@@ -83,7 +82,7 @@
     CHECK(!ok(peers::decode({}, now)));
 }
 
-TEST(LoadDigest, ConfirmationsComeOutWithTheirAgeAndMalformedOnesAreRefused)
+TEST(LoadDigest, ConfirmationsAreDecodedWithTheirAgeAndMalformedOnesAreRejected)
 {
     using nlohmann::json;
     const replica::Confirmation confirmation{"k", 77, 0xfedcba9876543210u, now - Millis(400), 3};
@@ -95,7 +94,7 @@
         json::parse(R"([["k",77,5,400,1,1]])"),    json::parse(R"([["k",77,5,400]])"),
         json::parse(R"([["k",-1,5,400,1]])"),      json::parse(R"([["k",77,5,-400,1]])"),
         json::parse(R"([["k",77,5,99999999,1]])"), json::parse(R"([["k",77,5,400,-1]])"),
-        json::parse(R"([[7,77,5,400,1]])"),        json(std::vector<json>(peers::mostConfirmations + 1, json::parse(R"(["k",77,5,400,1])")))};
+        json::parse(R"([[7,77,5,400,1]])"),        json(std::vector<json>(peers::maxConfirmations + 1, json::parse(R"(["k",77,5,400,1])")))};
     for (const auto &w : wrong) {
         CHECK(!ok(peers::decode(json::to_cbor(w), now)));
     }
@@ -103,7 +102,7 @@
 
 LOOP_GROUP(PeerDirectory);
 
-TEST(PeerDirectory, RoutersOfOneFailureDomainFindEachOther)
+TEST(PeerDirectory, RoutersOfOneFailureDomainListEachOther)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
@@ -113,12 +112,12 @@
     for (auto *d : {&a, &b, &c, &a}) {
         CHECK(loop().run(d->refresh()));
     }
-    CHECK(idsOf(a.peers()) == std::vector<std::string>{"b"});
-    LONGS_EQUAL(2, a.peers().front().address.port);
-    LONGS_EQUAL(3, api.writes); // each announced itself once
+    CHECK(idsOf(a.domainPeers()) == std::vector<std::string>{"b"});
+    LONGS_EQUAL(2, a.domainPeers().front().address.port);
+    LONGS_EQUAL(3, api.writes); // each router announced itself once
 }
 
-TEST(PeerDirectory, ARouterThatIsReplacedUnderItsNameAnnouncesItsNewAddress)
+TEST(PeerDirectory, ARouterReplacedUnderItsNameAnnouncesItsNewAddress)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
@@ -128,10 +127,10 @@
     CHECK(loop().run(before.refresh()));
     CHECK(loop().run(after.refresh()));
     CHECK(loop().run(b.refresh()));
-    LONGS_EQUAL(9, b.peers().front().address.port);
+    LONGS_EQUAL(9, b.domainPeers().front().address.port);
 }
 
-TEST(PeerDirectory, AnEntryThatTheStoreLostIsAnnouncedAgainAfterEachReturn)
+TEST(PeerDirectory, AnEntryLostByTheStoreIsAnnouncedAgainAfterEachRestore)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
@@ -143,11 +142,11 @@
         store.restore(copy);
         CHECK(loop().run(a.refresh()));
         CHECK(loop().run(b.refresh()));
-        CHECK(idsOf(b.peers()) == std::vector<std::string>{"a"});
+        CHECK(idsOf(b.domainPeers()) == std::vector<std::string>{"a"});
     }
 }
 
-TEST(PeerDirectory, AnEntryThatWasTakenForGoneComesBack)
+TEST(PeerDirectory, ARunningRouterAnnouncesItsRemovedEntryAgain)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
@@ -156,18 +155,18 @@
     CHECK(loop().run(a.refresh()));
     CHECK(loop().run(b.refresh()));
     const auto forget = [&]() -> Task<bool> {
-        co_await b.forget(b.peers().front());
+        co_await b.removeEntry(b.domainPeers().front());
         co_return true;
     };
     CHECK(loop().run(forget()));
     CHECK(loop().run(b.refresh()));
-    CHECK(b.peers().empty());
-    CHECK(loop().run(a.refresh())); // sees that it is missing, and announces itself
+    CHECK(b.domainPeers().empty());
+    CHECK(loop().run(a.refresh())); // finds its entry missing and announces itself again
     CHECK(loop().run(b.refresh()));
-    CHECK(idsOf(b.peers()) == std::vector<std::string>{"a"});
+    CHECK(idsOf(b.domainPeers()) == std::vector<std::string>{"a"});
 }
 
-TEST(PeerDirectory, WithoutTheStoreTheLastListStays)
+TEST(PeerDirectory, TheLastListIsKeptWhenTheStoreIsUnreachable)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
@@ -177,7 +176,7 @@
     CHECK(loop().run(b.refresh()));
     api.outage = true;
     CHECK(!loop().run(b.refresh()));
-    LONGS_EQUAL(1, b.peers().size());
+    LONGS_EQUAL(1, b.domainPeers().size());
 }
 
 LOOP_GROUP(LoadExchange);
@@ -185,7 +184,7 @@
 namespace
 {
 
-/// A router "a" with two plain endpoints and a peer "b".
+/// A router "a" with two service endpoints, and an exchange that can hear a peer "b".
 struct ExchangeRig {
     ExchangeRig()
     {
@@ -211,14 +210,14 @@
 
 } // namespace
 
-// The places of routers "a" to "d" of one domain, and of "z" elsewhere, as "c" sees them.
-TEST(LoadExchange, ThePlaceAmongNeighboursFollowsTheNamesOfThoseHeardLately)
+// The ranks of routers "a" to "d" of one domain, and of "z" in another, as seen by "c".
+TEST(LoadExchange, TheRankCountsRecentlyHeardNeighboursWithEarlierNames)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
     router::RoutingTable table;
     peers::ExchangeOptions options;
-    options.mostTold = 3; // the fleet is too large for one round: neighbours are those of the domain
+    options.maxPeersPerRound = 3; // the fleet is too large for one round, so only routers of the domain are neighbours
     peers::LoadExchange c(api, peerAt("c", "north", 3), table, options);
     for (const auto &[id, domain, port] :
          {std::tuple("a", "north", 1), std::tuple("b", "north", 2), std::tuple("d", "north", 4), std::tuple("z", "south", 5)}) {
@@ -227,27 +226,27 @@
     }
     const auto now = Clock::now();
     CHECK(loop().run(c.refreshPeers(now)));
-    CHECK(!c.rank(now).has_value()); // nobody was heard yet
+    CHECK(!c.rank(now).has_value()); // no peer was heard yet
     const auto datagram = peers::encode({}, now);
     c.take(datagram, {"127.0.0.1", 5}, now);
     CHECK(!c.rank(now).has_value()); // "z" is no neighbour
     const auto later = now + std::chrono::seconds(4);
     c.take(datagram, {"127.0.0.1", 2}, later);
     c.take(datagram, {"127.0.0.1", 4}, later);
-    LONGS_EQUAL(1, *c.rank(later)); // "b" comes before; "a" has been silent since it was listed
+    LONGS_EQUAL(1, *c.rank(later)); // "b" sorts before "c"; "a" has been silent since it was listed
     CHECK(!c.rank(later + Millis(2500)).has_value());
 }
 
-TEST(LoadExchange, OnlyNeighboursConfirmWhatIsHeld)
+TEST(LoadExchange, ConfirmationsAreAcceptedFromNeighboursOnly)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
     router::RoutingTable table;
     peers::ExchangeOptions options;
-    options.mostTold = 1;
+    options.maxPeersPerRound = 1;
     peers::LoadExchange exchange(api, peerAt("a", "north", 1), table, options);
     struct NoSource : replica::ChangeSource {
-        Task<Result<replica::Changes>> fetch(http::Address, std::string, replica::Position, replica::HandOn) override
+        Task<Result<replica::Changes>> fetch(http::Address, std::string, replica::Position, replica::TransferLimit) override
         {
             co_return Error{503, "none"};
         }
@@ -265,15 +264,15 @@
     }
     const auto now = Clock::now();
     CHECK(loop().run(exchange.refreshPeers(now)));
-    held.listed({9, {}, false}, store::Freshness::MayLag, now);
+    held.applyListing({9, {}, false}, store::Freshness::MayLag, now);
     const auto datagram = peers::encode({{}, {}, {{"k", 9, 0, now}}}, now);
     exchange.take(datagram, {"127.0.0.1", 5}, now);
-    CHECK(!held.confirmed());
+    CHECK(!held.isConfirmed());
     exchange.take(datagram, {"127.0.0.1", 2}, now);
-    CHECK(held.confirmed());
+    CHECK(held.isConfirmed());
 }
 
-TEST(LoadExchange, WhatAPeerHeardDecidesWhereRequestsGo)
+TEST(LoadExchange, ALoadReportedByAPeerChangesThePlacement)
 {
     ExchangeRig rig;
     peers::Directory b(rig.api, peerAt("b", "north", 2));
@@ -283,10 +282,10 @@
     const std::string busy = rig.pick(now);
     rig.exchange->take(peers::encode({{{busy, 40, now}}, {}, {}}, now), addressOfB, now);
     CHECK(rig.pick(now) != busy);
-    CHECK(rig.table->heardSince({}).empty()); // what was told is not told on
+    CHECK(rig.table->heardSince({}).empty()); // received loads are not forwarded
 }
 
-TEST(LoadExchange, AnOlderReportDoesNotReplaceANewerOne)
+TEST(LoadExchange, AnOlderLoadReportDoesNotReplaceANewerOne)
 {
     ExchangeRig rig;
     peers::Directory b(rig.api, peerAt("b", "north", 2));
@@ -301,7 +300,7 @@
     LONGS_EQUAL(0, rig.table->heardSince(now).size());
 }
 
-TEST(LoadExchange, OnlyPeersThatAreListedAreBelieved)
+TEST(LoadExchange, DatagramsFromUnlistedSendersAreIgnored)
 {
     ExchangeRig rig;
     const auto now = Clock::now();
@@ -325,7 +324,7 @@
     STRCMP_EQUAL(first.c_str(), rig.pick(now).c_str());
 }
 
-TEST(LoadExchange, TheEntryOfARouterThatIsSilentForLongIsRemoved)
+TEST(LoadExchange, TheEntryOfALongSilentRouterIsRemoved)
 {
     ExchangeRig rig;
     peers::Directory b(rig.api, peerAt("b", "north", 2));
@@ -337,7 +336,7 @@
     };
     CHECK(loop().run(rig.exchange->refreshPeers(now + std::chrono::minutes(9))));
     LONGS_EQUAL(2, listed());
-    rig.exchange->take(peers::encode({}, now), addressOfB, now + std::chrono::minutes(9)); // it lives
+    rig.exchange->take(peers::encode({}, now), addressOfB, now + std::chrono::minutes(9)); // the peer is running
     CHECK(loop().run(rig.exchange->refreshPeers(now + std::chrono::minutes(11))));
     LONGS_EQUAL(2, listed());
     CHECK(loop().run(rig.exchange->refreshPeers(now + std::chrono::minutes(20))));
--- a/tests/test_store_restore.cpp
+++ b/tests/test_store_restore.cpp
@@ -1,5 +1,4 @@
-// The store returns from an older copy of itself: what it confirmed since is
-// lost, and the revisions since are given out again.
+// Tests of a store that is restored from an older copy: later writes are lost, and the revisions after the copy are assigned again.
 #include "control_rig.h"
 #include "follower_rig.h"
 
@@ -12,16 +11,16 @@
 namespace
 {
 
-constexpr int stepsToSettle = 4; ///< a listing, a watch, and one of each again
+constexpr int stepsToConverge = 4; ///< a listing and a watch, each once more
 
-void settle(Loop &loop, FollowerRig &rig)
+void converge(Loop &loop, FollowerRig &rig)
 {
-    for (int i = 0; i < stepsToSettle; ++i) {
+    for (int i = 0; i < stepsToConverge; ++i) {
         loop.run(rig.follower->step());
     }
 }
 
-bool heardOf(const RecordingSink &sink, const std::string &news)
+bool recorded(const RecordingSink &sink, const std::string &news)
 {
     return std::find(sink.news.begin(), sink.news.end(), news) != sink.news.end();
 }
@@ -30,7 +29,7 @@
 
 LOOP_GROUP(StoreRestore);
 
-TEST(StoreRestore, WhatIsWrittenUnderARevisionThatWasLostComesIntoForce)
+TEST(StoreRestore, WritesUnderAReassignedRevisionTakeEffect)
 {
     FollowerRig rig;
     rig.rank = std::nullopt;
@@ -38,14 +37,14 @@
     const auto copy = rig.store.copy();
     rig.store.put("k", "b", 1, std::nullopt);
     rig.store.put("k", "c", 1, std::nullopt);
-    settle(loop(), rig);
+    converge(loop(), rig);
     rig.store.restore(copy);
     rig.store.put("k", "x", 1, std::nullopt);
     rig.store.put("k", "b", 1, std::nullopt);
     rig.store.put("k", "c", 1, std::nullopt);
     rig.sink.news.clear();
-    settle(loop(), rig);
-    CHECK(heardOf(rig.sink, "listed 4") || heardOf(rig.sink, "set x"));
+    converge(loop(), rig);
+    CHECK(recorded(rig.sink, "listed 4") || recorded(rig.sink, "set x"));
 }
 
 namespace
@@ -60,7 +59,7 @@
 
 } // namespace
 
-TEST(StoreRestore, AnEndpointThatLeavesIsNotUsedAgainWhenTheCopyStillHasItReady)
+TEST(StoreRestore, ADrainingEndpointIsNotUsedAgainWhenTheCopyListsItAsReady)
 {
     ControlRig rig;
     rig.start(loop());
@@ -69,82 +68,83 @@
     CHECK(loop().run(rig.control.stepEndpoints()));
     CHECK((rig.takers() == std::set<std::string>{"i-south"}));
     rig.store.restore(copy);
-    for (int i = 0; i < stepsToSettle; ++i) {
+    for (int i = 0; i < stepsToConverge; ++i) {
         loop().run(rig.control.stepEndpoints());
         CHECK((rig.takers() == std::set<std::string>{"i-south"}));
     }
 }
 
-TEST(StoreRestore, ANeighboursWordFromBeforeTheReturnNeitherConfirmsNorRaisesTheRevision)
+TEST(StoreRestore, AConfirmationFromBeforeTheRestoreNeitherConfirmsNorRaisesTheRevision)
 {
     FollowerRig rig;
     rig.store.put("k", "a", 1, std::nullopt);
     const auto copy = rig.store.copy();
-    rig.neighbourAsks(loop());
+    rig.neighbourQueriesStore(loop());
     rig.start(loop());
-    rig.store.put("j", "other", 1, std::nullopt); // the revision rises, of this kind nothing changes
+    rig.store.put("j", "other", 1, std::nullopt); // raises the revision without a change of this kind
     rig.store.put("j", "other", 2, std::nullopt);
-    rig.neighbourAsks(loop());
-    const auto word = *rig.other.told();
+    rig.neighbourQueriesStore(loop());
+    const auto confirmation = *rig.other.currentConfirmation();
     rig.store.restore(copy);
     rig.rank = std::nullopt;
-    settle(loop(), rig);
+    converge(loop(), rig);
     const auto confirmedAt = rig.own.confirmedAt();
-    rig.own.heard({"k", word.revision, word.digest, Clock::now() + std::chrono::seconds(1), word.epoch}, neighbour, Clock::now());
+    rig.own.receiveConfirmation({"k", confirmation.revision, confirmation.digest, Clock::now() + std::chrono::seconds(1), confirmation.epoch}, neighbour,
+                                Clock::now());
     CHECK(rig.own.confirmedAt() == confirmedAt);
     rig.store.put("k", "x", 1, std::nullopt);
-    settle(loop(), rig);
-    CHECK(heardOf(rig.sink, "set x") || heardOf(rig.sink, "listed 2"));
+    converge(loop(), rig);
+    CHECK(recorded(rig.sink, "set x") || recorded(rig.sink, "listed 2"));
 }
 
-TEST(StoreRestore, ARouterThatTheStoreTurnsAwayTakesTheLaterEpochFromItsNeighbour)
+TEST(StoreRestore, ARouterThatTheStoreRefusesFetchesTheLaterEpochFromItsNeighbour)
 {
     FollowerRig rig;
     rig.store.put("k", "a", 1, std::nullopt);
     const auto copy = rig.store.copy();
     rig.store.put("k", "lost", 1, std::nullopt);
-    rig.neighbourAsks(loop());
+    rig.neighbourQueriesStore(loop());
     rig.start(loop());
     rig.api.outage = true;
     rig.store.restore(copy);
     rig.store.put("k", "b", 1, std::nullopt);
-    for (int i = 0; i < stepsToSettle; ++i) {
-        rig.neighbourAsks(loop());
+    for (int i = 0; i < stepsToConverge; ++i) {
+        rig.neighbourQueriesStore(loop());
     }
-    rig.hear();
+    rig.receiveNeighbourConfirmation();
     CHECK(loop().run(rig.follower->step()));
-    CHECK(heardOf(rig.sink, "restored"));
-    CHECK(heardOf(rig.sink, "listed 2"));
-    CHECK(rig.own.told()->digest == rig.other.told()->digest);
-    CHECK(rig.own.told()->epoch == 1);
+    CHECK(recorded(rig.sink, "restored"));
+    CHECK(recorded(rig.sink, "listed 2"));
+    CHECK(rig.own.currentConfirmation()->digest == rig.other.currentConfirmation()->digest);
+    CHECK(rig.own.currentConfirmation()->epoch == 1);
 }
 
-TEST(StoreRestore, ALaterEpochThatANeighbourCannotHandOnIsListed)
+TEST(StoreRestore, ALaterEpochThatTheNeighbourDoesNotServeIsListed)
 {
     FollowerRig rig;
     rig.store.put("k", "a", 1, std::nullopt);
     const auto copy = rig.store.copy();
-    rig.neighbourAsks(loop());
+    rig.neighbourQueriesStore(loop());
     rig.start(loop());
     rig.store.restore(copy);
     rig.store.put("k", "b", 1, std::nullopt);
-    for (int i = 0; i < stepsToSettle; ++i) {
-        rig.neighbourAsks(loop());
+    for (int i = 0; i < stepsToConverge; ++i) {
+        rig.neighbourQueriesStore(loop());
     }
     rig.source.peer = nullptr;
-    rig.hear();
+    rig.receiveNeighbourConfirmation();
     CHECK(loop().run(rig.follower->step()));
-    CHECK(heardOf(rig.sink, "listed 2"));
+    CHECK(recorded(rig.sink, "listed 2"));
 }
 
-TEST(StoreRestore, TwoReturnsInARowAreFollowedAlsoByARouterThatMissedTheFirst)
+TEST(StoreRestore, TwoSuccessiveRestoresAreFollowedByARouterThatMissedTheFirst)
 {
     FollowerRig rig;
     rig.rank = std::nullopt;
     rig.store.put("k", "a", 1, std::nullopt);
     const auto first = rig.store.copy();
     rig.store.put("k", "b", 1, std::nullopt);
-    settle(loop(), rig);
+    converge(loop(), rig);
     rig.api.outage = true;
     rig.store.restore(first);
     rig.store.put("k", "c", 1, std::nullopt);
@@ -155,14 +155,14 @@
     rig.store.put("k", "e", 1, std::nullopt);
     rig.api.outage = false;
     rig.sink.news.clear();
-    settle(loop(), rig);
-    CHECK(heardOf(rig.sink, "listed 3"));
+    converge(loop(), rig);
+    CHECK(recorded(rig.sink, "listed 3"));
     rig.store.put("k", "f", 1, std::nullopt);
-    settle(loop(), rig);
-    CHECK(heardOf(rig.sink, "set f"));
+    converge(loop(), rig);
+    CHECK(recorded(rig.sink, "set f"));
 }
 
-TEST(StoreRestore, ARouterThatStartsOnTheOldCopyTakesWhatIsWrittenAgain)
+TEST(StoreRestore, ARouterStartedAfterTheRestoreAppliesWhatIsWrittenAgain)
 {
     FollowerRig rig;
     rig.rank = std::nullopt;
@@ -170,15 +170,15 @@
     const auto copy = rig.store.copy();
     rig.store.put("k", "b", 1, std::nullopt);
     rig.store.restore(copy);
-    settle(loop(), rig);
-    CHECK(heardOf(rig.sink, "listed 1"));
-    CHECK(!heardOf(rig.sink, "restored"));
+    converge(loop(), rig);
+    CHECK(recorded(rig.sink, "listed 1"));
+    CHECK(!recorded(rig.sink, "restored"));
     rig.store.put("k", "b", 1, std::nullopt);
-    settle(loop(), rig);
-    CHECK(heardOf(rig.sink, "set b"));
+    converge(loop(), rig);
+    CHECK(recorded(rig.sink, "set b"));
 }
 
-TEST(StoreRestore, AFollowerThatCannotTellLostFromDeletedListsOnlyAfterAPause)
+TEST(StoreRestore, AFollowerWithARestorePauseListsOnlyAfterIt)
 {
     FollowerRig rig;
     rig.options.shared = nullptr;
@@ -186,19 +186,19 @@
     rig.follower = std::make_unique<Follower<RecordingSink>>(rig.api, "k", rig.sink, rig.options);
     const auto copy = rig.store.copy();
     rig.store.put("k", "a", 1, std::nullopt);
-    settle(loop(), rig);
+    converge(loop(), rig);
     rig.store.restore(copy);
     rig.sink.news.clear();
     CHECK(loop().run(rig.follower->step()));
     CHECK(loop().run(rig.follower->step()) || true);
-    CHECK(!heardOf(rig.sink, "listed 0"));
+    CHECK(!recorded(rig.sink, "listed 0"));
     rig.store.put("k", "a", 1, std::nullopt);
-    settle(loop(), rig);
-    CHECK(heardOf(rig.sink, "listed 1"));
-    CHECK(!heardOf(rig.sink, "listed 0"));
+    converge(loop(), rig);
+    CHECK(recorded(rig.sink, "listed 1"));
+    CHECK(!recorded(rig.sink, "listed 0"));
 }
 
-TEST(StoreRestore, NoOlderConfigurationComesIntoForce)
+TEST(StoreRestore, AnOlderConfigurationIsNotApplied)
 {
     ControlRig rig;
     rig.start(loop());
@@ -208,7 +208,7 @@
     LONGS_EQUAL(7, rig.published.configuration()->version);
 }
 
-TEST(StoreRestore, AnEndpointThatHadGoneAndIsListedByTheCopyStaysOutUntilItIsKnownToLive)
+TEST(StoreRestore, ARemovedEndpointListedByTheCopyIsUnusedUntilItIsKnownToRun)
 {
     ControlRig rig;
     rig.start(loop());
@@ -217,7 +217,7 @@
     CHECK(loop().run(rig.control.stepEndpoints()));
     CHECK((rig.takers() == std::set<std::string>{"i-south"}));
     rig.store.restore(copy);
-    for (int i = 0; i < stepsToSettle; ++i) {
+    for (int i = 0; i < stepsToConverge; ++i) {
         loop().run(rig.control.stepEndpoints());
     }
     CHECK((rig.takers() == std::set<std::string>{"i-south"}));
@@ -225,7 +225,7 @@
     CHECK((rig.takers() == std::set<std::string>{"i-north", "i-south"}));
 }
 
-TEST(StoreRestore, AnEndpointThatJoinedAfterTheCopyIsKeptUntilItsEntryIsWrittenAgain)
+TEST(StoreRestore, AnEndpointAddedAfterTheCopyIsKeptUntilItsEntryHasLapsed)
 {
     ControlRig rig;
     rig.start(loop());
@@ -234,7 +234,7 @@
     CHECK(loop().run(rig.control.stepEndpoints()));
     rig.store.restore(copy);
     const std::set<std::string> all{"i-new", "i-north", "i-south"};
-    for (int i = 0; i < stepsToSettle; ++i) {
+    for (int i = 0; i < stepsToConverge; ++i) {
         loop().run(rig.control.stepEndpoints());
         CHECK(rig.takers() == all);
     }
@@ -242,18 +242,18 @@
     CHECK((rig.takers() == std::set<std::string>{"i-north", "i-south"}));
 }
 
-TEST(StoreRestore, AnEvacuationThatTheStoreLostStaysInForceUntilItIsWrittenAgainOrMissingForLong)
+TEST(StoreRestore, AnEvacuationLostByTheStoreStaysInForceUntilRewrittenOrMissingForLong)
 {
     ControlRig rig;
     rig.start(loop());
     CHECK(loop().run(rig.control.stepEvacuations()));
     const auto copy = rig.store.copy();
     const std::set<std::string> south{"i-south"};
-    for (int round = 0; round < 2; ++round) { // the second return comes right after the first
+    for (int round = 0; round < 2; ++round) { // the second restore follows right after the first
         rig.store.put(platform::ObjectCodec::evacuationKind, "north", nlohmann::json::object(), std::nullopt);
         loop().run(rig.control.stepEvacuations());
         rig.store.restore(copy);
-        for (int i = 0; i < stepsToSettle; ++i) {
+        for (int i = 0; i < stepsToConverge; ++i) {
             loop().run(rig.control.stepEvacuations());
             CHECK(rig.takers() == south);
         }
@@ -262,7 +262,7 @@
     CHECK((rig.takers() == std::set<std::string>{"i-north", "i-south"}));
 }
 
-TEST(StoreRestore, AnEvacuationThatIsTakenBackAfterTheReturnEndsAtOnce)
+TEST(StoreRestore, AnEvacuationRemovedAfterTheRestoreEndsAtOnce)
 {
     ControlRig rig;
     rig.start(loop());
@@ -272,10 +272,10 @@
     rig.store.remove(platform::ObjectCodec::evacuationKind, "north", std::nullopt);
     CHECK(loop().run(rig.control.stepEvacuations()));
     rig.store.restore(copy);
-    for (int i = 0; i < stepsToSettle; ++i) {
+    for (int i = 0; i < stepsToConverge; ++i) {
         loop().run(rig.control.stepEvacuations());
     }
-    CHECK((rig.takers() == std::set<std::string>{"i-south"})); // the copy has the order
+    CHECK((rig.takers() == std::set<std::string>{"i-south"})); // the copy contains the evacuation
     rig.store.remove(platform::ObjectCodec::evacuationKind, "north", std::nullopt);
     CHECK(loop().run(rig.control.stepEvacuations()));
     CHECK((rig.takers() == std::set<std::string>{"i-north", "i-south"}));
