--- a/src/catalogue.cpp
+++ b/src/catalogue.cpp
@@ -11,11 +11,11 @@
 
 namespace
 {
-// Every entry may carry the mark of the change that wrote it (see ctl.h).
-void readMark(settings::Reader &r)
+// Accepts the optional id of the change that wrote the entry (see ctl.h).
+void readChangeId(settings::Reader &r)
 {
-    std::string mark;
-    r.read("change", mark);
+    std::string changeId;
+    r.read("change", changeId);
 }
 } // namespace
 
@@ -23,7 +23,7 @@
 {
     Workspace w;
     settings::Reader r(value, path, findings);
-    readMark(r);
+    readChangeId(r);
     r.read("owner", w.owner);
     r.read("class", w.workClass);
     auto l = r.child("limits");
@@ -31,7 +31,7 @@
     l.read("requestsPerS", w.limits.requestsPerS, 1, 1000000);
     l.finish();
     r.finish();
-    // A key of the wrong type is already a finding; "required" is for absent ones.
+    // "required" is reported only for absent keys; one of the wrong type is already a finding.
     for (const char *key : {"owner", "class"}) {
         if (!value.is_object() || !value.contains(key)) {
             findings.add(path + "/" + key, "required");
@@ -44,7 +44,7 @@
 {
     WorkClass c;
     settings::Reader r(value, path, findings);
-    readMark(r);
+    readChangeId(r);
     r.read("pool", c.pool);
     r.read("priority", c.priority, 0, 9);
     r.read("model", c.model);
@@ -66,7 +66,7 @@
 {
     Evacuation e;
     settings::Reader r(value, path, findings);
-    readMark(r);
+    readChangeId(r);
     r.read("active", e.active);
     r.read("author", e.author);
     r.read("since", e.since, 0, std::numeric_limits<int64_t>::max());
@@ -127,16 +127,16 @@
 
 bool View::apply(const store::Object &object, bool deleted)
 {
-    auto &held = m_held[{object.kind, object.name}];
-    if (object.version <= held.version) {
+    auto &known = m_versions[{object.kind, object.name}];
+    if (object.version <= known.version) {
         return false;
     }
-    held = {object.version, deleted};
+    known = {object.version, deleted};
     m_state.revision = std::max(m_state.revision, object.version);
     if (deleted) {
         erase(object.kind, object.name);
     } else {
-        take(object);
+        applyValue(object);
     }
     return true;
 }
@@ -154,8 +154,8 @@
     }
 }
 
-// Takes an entry's new value, unless it does not parse.
-void View::take(const store::Object &object)
+// Stores an entry's new value, unless it is invalid.
+void View::applyValue(const store::Object &object)
 {
     Findings findings;
     if (object.kind == workspaceKind) {
@@ -184,11 +184,11 @@
     }
 }
 
-void View::forgetVersions(const std::string &kind)
+void View::resetVersions(const std::string &kind)
 {
-    for (auto &[key, held] : m_held) {
+    for (auto &[key, known] : m_versions) {
         if (key.first == kind) {
-            held.version = 0;
+            known.version = 0;
         }
     }
 }
@@ -200,9 +200,9 @@
         listed.insert(o.name);
         apply(o, false);
     }
-    for (auto &[key, held] : m_held) {
-        if (key.first == kind && !listed.count(key.second) && !held.deleted && held.version < listing.revision) {
-            held = {listing.revision, true};
+    for (auto &[key, known] : m_versions) {
+        if (key.first == kind && !listed.count(key.second) && !known.deleted && known.version < listing.revision) {
+            known = {listing.revision, true};
             erase(kind, key.second);
         }
     }
--- a/src/catalogue.h
+++ b/src/catalogue.h
@@ -1,6 +1,6 @@
-// The catalogue: entries that operators edit (workspaces and classes of
-// work), their checked parsing, and the view a router keeps of them and of
-// the VM list, which only ever moves forward.
+// The catalogue: the entries that operators edit (workspaces, classes of work
+// and evacuations), their validating parsers, and the view that a router keeps of
+// them and of the VM list. The view never goes back to an older version of an entry.
 #pragma once
 
 #include "admission.h"
@@ -21,46 +21,46 @@
 
 inline constexpr const char *workspaceKind = "workspace";
 inline constexpr const char *classKind = "class";
-inline constexpr const char *evacuationKind = "evacuation"; ///< named by the failure domain
+inline constexpr const char *evacuationKind = "evacuation"; ///< the entry's name is the failure domain
 inline constexpr const char *auditKind = "audit";
 
-inline constexpr int64_t defaultPriority = 5; ///< of a class of work; 0 is the most urgent, 9 the least
+inline constexpr int64_t defaultPriority = 5; ///< of a class of work; 0 is the highest, 9 the lowest
 
-/// A workspace entry: its owner, the class of work it uses, its limits.
+/// A workspace entry: the workspace's owner, class of work and limits.
 struct Workspace {
     std::string owner;
     std::string workClass;
     limits::Limits limits;
 };
 
-/// A class of work: which pool of endpoints serves it, of what kind, how
-/// urgently, and with which model.
+/// A class of work: the pool of endpoints that serves it, with their kind,
+/// priority and model.
 struct WorkClass {
     std::string pool;
     EndpointKind kind = EndpointKind::Engine;
     int64_t priority = defaultPriority;
-    uint64_t version = 0; ///< of the entry
-    std::string model; ///< the model the pool's engines are to hold; empty: left as it is
+    uint64_t version = 0; ///< version of the entry
+    std::string model; ///< the model that the pool's engines must load; empty: the engines keep theirs
 };
 
-/// An operators' order on a failure domain: while it is active, nothing more is
-/// sent to the domain's endpoints.
+/// An operator's order to evacuate a failure domain: while it is active, nothing
+/// is sent to the domain's endpoints.
 struct Evacuation {
     bool active = false;
-    std::string author; ///< who gave it, or took it back
-    int64_t since = 0; ///< when, in Unix seconds
+    std::string author; ///< the operator who gave or revoked the order
+    int64_t since = 0; ///< Unix time of that, in seconds
 };
 
-/// Parses a workspace entry's value; problems are recorded under path.
+/// Parses a workspace entry's value. Problems are added to findings, with JSON paths that begin with path.
 Workspace parseWorkspace(const nlohmann::json &value, const std::string &path, Findings &findings);
-/// Parses a class entry's value; problems are recorded under path.
+/// Parses a class entry's value. Problems are added to findings, with JSON paths that begin with path.
 WorkClass parseClass(const nlohmann::json &value, const std::string &path, Findings &findings);
-/// Parses an evacuation entry's value; problems are recorded under path.
+/// Parses an evacuation entry's value. Problems are added to findings, with JSON paths that begin with path.
 Evacuation parseEvacuation(const nlohmann::json &value, const std::string &path, Findings &findings);
-/// Checks an entry of any of these kinds; an unknown kind is a finding.
+/// Validates the value of an entry of any of these kinds; an unknown kind is a finding.
 void check(const std::string &kind, const nlohmann::json &value, const std::string &path, Findings &findings);
 
-/// The catalogue and the VM list at one moment. Immutable once published.
+/// The catalogue and the VM list at one point in time. Immutable once published.
 struct Snapshot {
     uint64_t revision = 0; ///< the highest version applied
     std::map<std::string, Workspace> workspaces;
@@ -68,34 +68,37 @@
     std::map<std::string, Evacuation> evacuations; ///< by failure domain
     std::map<std::string, Endpoint> endpoints;
 
+    /// Returns the workspace, or null when there is none of this name.
     const Workspace *workspace(const std::string &name) const;
+    /// Returns the class of work, or null when there is none of this name.
     const WorkClass *workClass(const std::string &name) const;
-    /// The failure domains under an active order.
+    /// Returns the failure domains with an active evacuation.
     std::set<std::string> evacuated() const;
 };
 
-/// A router's copy of the catalogue and the VM list. Each entry keeps the
-/// highest version seen, deletions included, so that a late or repeated
-/// event never brings back an older state. An entry that does not parse
-/// leaves the last good one in force.
+/// A router's copy of the catalogue and the VM list. It keeps the highest version
+/// seen of each entry, deletions included, so that a late or repeated event never
+/// restores an older state. When a new value is invalid, the last valid one stays
+/// in effect.
 class View
 {
 public:
-    /// Called with an entry ("kind/name") that was not taken, and why.
+    /// Called with the "kind/name" of an entry whose new value is invalid, and the problems.
     using OnRejected = std::function<void(const std::string &entry, const Findings &findings)>;
     explicit View(OnRejected onRejected = {});
 
-    /// Applies one change; false when it is not newer than what is held.
+    /// Applies one change. Returns false when it is not newer than the known version.
     bool apply(const store::Object &object, bool deleted);
-    /// Applies a full listing of a kind taken at its revision: entries not
-    /// in it and older than it were deleted meanwhile.
+    /// Applies a full listing of a kind as of the listing's revision. Known entries
+    /// that are older than that and not listed were deleted in the meantime.
     void applyListing(const std::string &kind, const store::Listing &listing);
 
-    /// The store returned from an older copy: versions held of a kind no longer
-    /// tell what is newer. The state stays until the next listing.
-    void forgetVersions(const std::string &kind);
+    /// Forgets the known versions of a kind after the store was restored from a
+    /// backup, as its revisions start again from an earlier one. The entries stay in
+    /// effect until the next listing.
+    void resetVersions(const std::string &kind);
 
-    /// The current state, to be shared with other threads.
+    /// Returns a copy of the current state, to be shared with other threads.
     std::shared_ptr<const Snapshot> publish() const
     {
         return std::make_shared<const Snapshot>(m_state);
@@ -106,15 +109,15 @@
     }
 
 private:
-    struct Held {
+    struct EntryVersion {
         uint64_t version = 0;
         bool deleted = false;
     };
     void erase(const std::string &kind, const std::string &name);
-    void take(const store::Object &object);
+    void applyValue(const store::Object &object);
 
     OnRejected m_onRejected;
-    std::map<std::pair<std::string, std::string>, Held> m_held;
+    std::map<std::pair<std::string, std::string>, EntryVersion> m_versions;
     Snapshot m_state;
 };
 
--- a/src/connect_probe.cpp
+++ b/src/connect_probe.cpp
@@ -9,7 +9,7 @@
 namespace yucca::http
 {
 
-Task<Probe> probeConnection(Address to, Millis connectTimeout, Millis staysOpenFor)
+Task<Probe> probeConnection(Address to, Millis connectTimeout, Millis minOpenTime)
 {
     boost::system::error_code ec;
     const auto address = asio::ip::make_address(to.host, ec);
@@ -23,7 +23,7 @@
     if (ec) {
         co_return ec == asio::error::connection_refused ? Probe::Refused : Probe::Silent;
     }
-    stream.expires_after(staysOpenFor);
+    stream.expires_after(minOpenTime);
     char byte;
     co_await stream.async_read_some(asio::buffer(&byte, 1), asio::redirect_error(asio::use_awaitable, ec));
     co_return !ec || ec == boost::beast::error::timeout ? Probe::Open : Probe::Closed;
--- a/src/connect_probe.h
+++ b/src/connect_probe.h
@@ -1,4 +1,4 @@
-// Whether a process listens at an address.
+// Probes whether a process listens at an address.
 #pragma once
 
 #include "http.h"
@@ -7,15 +7,16 @@
 namespace yucca::http
 {
 
-/// What became of a new connection.
+/// The result of probing an address with a new connection.
 enum class Probe {
-    Open, ///< it was taken, and stays open
-    Closed, ///< it was taken and closed at once: by a process without a free place, or a proxy without its server
-    Refused, ///< the host answers, and nothing listens
-    Silent, ///< no answer within the time
+    Open, ///< accepted, and stayed open
+    Closed, ///< accepted and closed at once, by a process at its connection limit or a proxy whose server is gone
+    Refused, ///< refused: the host is up and nothing listens on the port
+    Silent, ///< no answer within connectTimeout, another connection error, or an invalid address
 };
 
-/// Opens a connection and waits whether it stays open; nothing is sent on it.
-Task<Probe> probeConnection(Address to, Millis connectTimeout, Millis staysOpenFor);
+/// Opens a connection and waits up to minOpenTime whether the peer closes it.
+/// Nothing is sent on the connection.
+Task<Probe> probeConnection(Address to, Millis connectTimeout, Millis minOpenTime);
 
 } // namespace yucca::http
--- a/src/duties.cpp
+++ b/src/duties.cpp
@@ -14,23 +14,23 @@
 namespace
 {
 
-constexpr int roundsPerTerm = 4; ///< the lease is renewed this often in its term
-constexpr std::chrono::seconds sweepEvery{120}; ///< a page of 500 records of 250 bytes: 1 KB/s
-constexpr int mostDeletesPerSweep = 100; ///< leaves the platform's write rate to the traffic
-constexpr Millis stopCheck{100};
+constexpr int renewalsPerTerm = 4; ///< renewals of the lease within its duration
+constexpr std::chrono::seconds sweepInterval{120}; ///< a listed page of 500 records of 250 B costs 1 KB/s
+constexpr int maxDeletesPerSweep = 100; ///< bounded, so that traffic keeps the platform's write rate
+constexpr Millis stopPollInterval{100};
 constexpr Millis orderTimeout{2000};
-constexpr std::string_view undrainOrder = "undrain"; ///< the one order that is for an engine that leaves
-constexpr Millis probeStaysOpenFor{100}; ///< a connection to a proxy whose server is gone is closed within milliseconds
+constexpr std::string_view undrainKind = "undrain"; ///< the only kind of order that is sent to a leaving engine
+constexpr Millis probeStaysOpenFor{100}; ///< a proxy whose server is gone closes a new connection within milliseconds
 
-// An order as the engines take it. (GCC 12 cannot keep braced lists in a
-// coroutine's frame: it is made in a plain function.)
+// Returns the body of an order's HTTP request. A plain function, because GCC 12
+// cannot keep braced initializer lists in a coroutine frame.
 nlohmann::json orderBody(const orders::Order &order, uint64_t fence, const std::string &holder)
 {
     return {{"kind", order.kind}, {"argument", order.argument}, {"fence", fence}, {"holder", holder}};
 }
 
-// What an engine's answer to an order says; one that failed may have acted.
-orders::Ack ackOf(unsigned status)
+// Maps the HTTP status of an engine's answer to an order. After a 5xx the engine may have acted.
+orders::Ack ackForStatus(unsigned status)
 {
     if (status == 200) {
         return orders::Ack::Applied;
@@ -41,8 +41,8 @@
     return status >= 500 ? orders::Ack::Unknown : orders::Ack::NotSent;
 }
 
-// Notes what an engine says of itself beside its answer to an order.
-void noteRefusals(router::RoutingTable &table, const Endpoint &engine, const http::Reply &reply)
+// Applies what the headers of an engine's answer say about the engine: a request to back off, or that it is leaving.
+void applyEngineHeaders(router::RoutingTable &table, const Endpoint &engine, const http::Reply &reply)
 {
     const auto backOff = http::backOffAskedFor(reply.status, reply.header("Retry-After"));
     if (backOff && table.backOff(engine, Clock::now() + *backOff)) {
@@ -54,8 +54,8 @@
     }
 }
 
-// A record name prefix drawn at random.
-std::string randomName()
+// Returns a random prefix of a record name.
+std::string randomRecordName()
 {
     std::random_device entropy;
     char name[20];
@@ -63,7 +63,7 @@
     return name;
 }
 
-// A holder name no other process has, also after a restart.
+// Returns a holder name that is unique per process, also across restarts.
 std::string holderName(const std::string &id)
 {
     std::random_device entropy;
@@ -101,8 +101,8 @@
     , m_api(api)
     , m_control(control)
     , m_lease(api, leaseName, holderName(settings.id), Millis(settings.leaseMs))
-    , m_desk(api, m_lease, settings.id, std::move(sender), quarantine)
-    , m_nextSweep(Clock::now() + sweepEvery)
+    , m_dispatcher(api, m_lease, settings.id, std::move(sender), quarantine)
+    , m_nextSweep(Clock::now() + sweepInterval)
 {
 }
 
@@ -110,9 +110,9 @@
 {
     while (!m_stopping) {
         co_await step();
-        const auto next = Clock::now() + Millis(m_settings.leaseMs) / roundsPerTerm;
+        const auto next = Clock::now() + Millis(m_settings.leaseMs) / renewalsPerTerm;
         while (!m_stopping && Clock::now() < next) {
-            co_await sleepFor(stopCheck);
+            co_await sleepFor(stopPollInterval);
         }
     }
     co_await m_lease.release();
@@ -120,7 +120,7 @@
 
 Task<void> Duties::step()
 {
-    co_await m_desk.restoreLost();
+    co_await m_dispatcher.restoreLost();
     const bool holder = co_await m_lease.acquireOrRenew();
     if (holder != m_wasHolder) {
         log::event(holder ? log::Event::LeaseTaken : log::Event::LeaseLost, "lease=" + std::string(leaseName) + " fence=" + std::to_string(m_lease.fence()));
@@ -130,28 +130,28 @@
         co_await sendOrders();
     }
     if (m_settings.recordRetentionS > 0 && Clock::now() >= m_nextSweep) {
-        m_nextSweep = Clock::now() + sweepEvery;
+        m_nextSweep = Clock::now() + sweepInterval;
         co_await sweepPage();
     }
 }
 
-// Removes the expired records of one page that begins anywhere: record
-// names begin with a hash.
+// Removes the expired records of one page that starts at a random name: record
+// names begin with a hash, so over time every record is reached.
 Task<void> Duties::sweepPage()
 {
-    auto listed = co_await m_api.list(idempotency::recordKind, randomName(), platform::Freshness::Current);
+    auto listed = co_await m_api.list(idempotency::recordKind, randomRecordName(), platform::Freshness::Current);
     if (!ok(listed)) {
         co_return;
     }
     const int64_t now = std::time(nullptr);
     int removed = 0;
     for (const auto &record : std::get<platform::Listing>(listed).items) {
-        if (removed >= mostDeletesPerSweep) {
+        if (removed >= maxDeletesPerSweep) {
             break;
         }
         if (expired(record.value, now, m_settings.recordRetentionS)) {
-            auto gone = co_await m_api.remove(record.kind, record.name, record.version);
-            removed += ok(gone) ? 1 : 0;
+            auto deleted = co_await m_api.remove(record.kind, record.name, record.version);
+            removed += ok(deleted) ? 1 : 0;
         }
     }
     if (removed > 0) {
@@ -159,46 +159,46 @@
     }
 }
 
-// Sends the orders that are still wanted.
+// Sends the wanted orders that are not settled yet, while the lease is held.
 Task<void> Duties::sendOrders()
 {
     const auto snapshot = m_control.snapshot();
-    std::set<std::string> settled; // only of what is still wanted, so that it does not grow
+    std::set<std::string> stillSettled; // only orders that are still wanted, so that the set does not grow
     for (const auto &order : wantedOrders(*snapshot)) {
         const std::string key = order.engine + "/" + order.id;
         if (m_settledOrders.count(key)) {
-            settled.insert(key);
+            stillSettled.insert(key);
             continue;
         }
         if (!m_lease.held()) {
             continue;
         }
-        const auto outcome = co_await m_desk.carryOut(order);
+        const auto outcome = co_await m_dispatcher.dispatch(order);
         if (outcome == orders::OrderResult::Quarantined) {
-            continue; // RequestQuarantined has been logged; this would be a line an engine and round
+            continue; // RequestQuarantined is logged already; this would add one line per engine and round
         }
         log::event(log::Event::OrderSent,
                    "engine=" + order.engine + " kind=" + order.kind + " argument=" + order.argument
                        + " outcome=" + std::string(nameOf(orders::orderResultNames, outcome)));
         if (outcome == orders::OrderResult::Applied || outcome == orders::OrderResult::Refused) {
-            settled.insert(key);
+            stillSettled.insert(key);
         }
     }
-    m_settledOrders = std::move(settled);
+    m_settledOrders = std::move(stillSettled);
 }
 
 orders::Sender httpSender(http::Client &client, const router::Control &control, router::RoutingTable &table, std::string holder)
 {
     return [&client, &control, &table, holder](orders::Order order, uint64_t fence) -> Task<orders::Ack> {
         const auto snapshot = control.snapshot();
-        const auto it = snapshot->endpoints.find(order.engine);
-        if (it == snapshot->endpoints.end()) {
+        const auto found = snapshot->endpoints.find(order.engine);
+        if (found == snapshot->endpoints.end()) {
             co_return orders::Ack::NotSent;
         }
-        const Endpoint engine = it->second;
+        const Endpoint engine = found->second;
         const auto standing = table.standingOf(engine);
-        const bool leaves = standing == router::Standing::Leaving && order.kind != undrainOrder;
-        if (leaves || table.backsOff(engine, Clock::now())) {
+        const bool skipLeaving = standing == router::Standing::Leaving && order.kind != undrainKind;
+        if (skipLeaving || table.backsOff(engine, Clock::now())) {
             co_return orders::Ack::NotSent;
         }
         const nlohmann::json body = orderBody(order, fence, holder);
@@ -216,8 +216,8 @@
             co_return probe == http::Probe::Refused ? orders::Ack::EngineEnded : orders::Ack::Unknown;
         }
         const auto &reply = std::get<http::Reply>(called);
-        noteRefusals(table, engine, reply);
-        co_return ackOf(reply.status);
+        applyEngineHeaders(table, engine, reply);
+        co_return ackForStatus(reply.status);
     };
 }
 
--- a/src/duties.h
+++ b/src/duties.h
@@ -1,7 +1,7 @@
-// Duties beside the traffic. One router at a time, under a lease, orders
-// engines to load the model that the catalogue names for their pool. Every
-// router removes a few old idempotency records now and then: deletions are
-// conditional and may be repeated, so they need no lease, and their rate
+// Background tasks of a router. The router that holds the "duties" lease orders
+// the engines to load the model that the catalogue names for their pool. Every
+// router periodically removes a few expired idempotency records: deletions are
+// conditional and may be repeated, so they need no lease, and their total rate
 // grows with the fleet.
 #pragma once
 
@@ -20,28 +20,29 @@
 
 inline constexpr const char *leaseName = "duties";
 
-/// True when an idempotency record is older than the retention. Records
-/// that never ended are kept: an operator settles them.
+/// True when an idempotency record is older than retentionS seconds at the Unix
+/// time nowS. Records without an outcome are kept, because an operator settles them.
 bool expired(const nlohmann::json &record, int64_t nowS, int64_t retentionS);
 
-/// The orders that bring every engine of a pool to its class's model.
+/// Returns the orders that make every live engine load the model of its pool's
+/// class of work. Engines in evacuated failure domains get none.
 std::vector<orders::Order> wantedOrders(const catalogue::Snapshot &snapshot);
 
-/// Performs the duties of one router.
+/// Runs the background tasks of one router.
 class Duties
 {
 public:
     Duties(const settings::RouterSettings &settings, platform::ObjectApi &api, const router::Control &control, orders::Sender sender,
            quarantine::RequestQuarantine &quarantine);
 
-    /// Renews or takes the lease and performs the duties, until stopped.
+    /// Calls step() several times per lease duration until stop() is called, then releases the lease.
     Task<void> run();
-    /// Asks run() to give up the lease and return; from its thread.
+    /// Asks run() to return; from its thread.
     void stop()
     {
         m_stopping = true;
     }
-    /// One round.
+    /// Takes or renews the lease, sends the wanted orders while it is held, and sweeps expired records when due.
     Task<void> step();
 
 private:
@@ -52,15 +53,16 @@
     platform::ObjectApi &m_api;
     const router::Control &m_control;
     lease::Lease m_lease;
-    orders::Desk m_desk;
-    std::set<std::string> m_settledOrders; ///< applied or refused: not asked about again
+    orders::Dispatcher m_dispatcher;
+    std::set<std::string> m_settledOrders; ///< "engine/order id" of applied and refused orders, which are not sent again
     Clock::time_point m_nextSweep;
     bool m_wasHolder = false;
     bool m_stopping = false;
 };
 
-/// A sender that posts orders to the engines' own order calls. What engines say
-/// of themselves in their answers binds orders as it binds requests.
+/// Returns a sender that posts orders to the engines over HTTP as the given
+/// holder. Engines that asked to back off or that are leaving get no orders,
+/// except "undrain" when leaving, just as they get no requests.
 orders::Sender httpSender(http::Client &client, const router::Control &control, router::RoutingTable &table, std::string holder);
 
 } // namespace yucca::duties
--- a/src/findings.h
+++ b/src/findings.h
@@ -1,4 +1,4 @@
-// Findings: problems collected with their place, reported together.
+// Collects the problems of an input with their locations, to report them together.
 #pragma once
 
 #include <string>
@@ -7,17 +7,16 @@
 namespace yucca
 {
 
-/// One problem found while checking input, with the JSON path where it sits.
+/// One problem found while validating input.
 struct Finding {
-    std::string path; ///< e.g. "/router/loadFactor"
+    std::string path; ///< JSON path of the problem, e.g. "/router/loadFactor"
     std::string message;
 };
 
-/// Collects findings so that every problem of an input is reported at once.
+/// The problems of one input, in the order in which they were found.
 class Findings
 {
 public:
-    /// Records one problem at a place.
     void add(std::string path, std::string message);
     bool empty() const
     {
@@ -27,7 +26,7 @@
     {
         return m_items;
     }
-    /// All findings, one per line, as "path: message".
+    /// Returns all findings as text, one "path: message" per line; an empty path is written as "/".
     std::string report() const;
 
 private:
--- a/src/idempotency.cpp
+++ b/src/idempotency.cpp
@@ -11,20 +11,20 @@
 
 namespace
 {
-constexpr int maxTries = 3; ///< bounded retries of one store call
-constexpr Millis firstSettlePause{100}; ///< before a settlement that failed is tried again
-constexpr Millis longestSettlePause{5000};
-constexpr Millis settleLimit{std::chrono::minutes(10)}; ///< after that an operator settles the record
+constexpr int maxStoreAttempts = 3; ///< attempts of one claim at the store
+constexpr Millis initialSettleDelay{100}; ///< before the first retry of a failed settlement; doubles with each retry
+constexpr Millis maxSettleDelay{5000};
+constexpr Millis settleTimeout{std::chrono::minutes(10)}; ///< after that, an operator must settle the record
 
-// The record of a claim that has just been taken.
+// Returns the record of a new claim.
 nlohmann::json startedRecord(const std::string &owner, const std::string &nonce, uint64_t requestHash)
 {
     return {{"state", "started"}, {"owner", owner}, {"nonce", nonce}, {"requestHash", requestHash}, {"at", static_cast<int64_t>(std::time(nullptr))}};
 }
 
-// A name for this process that no earlier process of the same router id had:
-// a restarted router must not take its predecessor's claims for its own.
-std::string bootId()
+// Returns an id that no earlier process of the same router had: a restarted
+// router must not mistake the claims of the process before for its own.
+std::string randomProcessId()
 {
     std::random_device entropy;
     return std::to_string((uint64_t{entropy()} << 32) | entropy());
@@ -35,7 +35,7 @@
     : m_api(api)
     , m_owner(std::move(owner))
     , m_kind(std::move(kind))
-    , m_boot(bootId())
+    , m_processId(randomProcessId())
     , m_options(options)
 {
 }
@@ -45,38 +45,41 @@
     std::lock_guard lock(m_mutex);
     if (epoch > m_epoch) {
         m_epoch = epoch;
-        m_claimsFrom = now + m_options.claimsAfterRestore;
+        m_claimsResumeAt = now + m_options.claimPauseAfterRestore;
         m_restorePending = true;
     }
 }
 
-// True while a key that looks new may have run: its record may be lost.
-bool Guard::restoring(Clock::time_point now)
+// True for a time after a restore of the store: a key without a record may have
+// run, and its record may be lost.
+bool Guard::claimsSuspended(Clock::time_point now)
 {
     noteEpoch(m_api.epoch(), now);
     std::lock_guard lock(m_mutex);
-    return now < m_claimsFrom;
+    return now < m_claimsResumeAt;
 }
 
-void Guard::remember(const std::string &name, const nlohmann::json &value)
+// Keeps a copy of a record that this router wrote, for restoreLost().
+void Guard::addRecent(const std::string &name, const nlohmann::json &value)
 {
     const auto now = Clock::now();
     std::lock_guard lock(m_mutex);
-    m_remembered.insert_or_assign(name, Remembered{value, now});
-    if (m_remembered.size() <= m_options.mostRemembered) {
+    m_recentRecords.insert_or_assign(name, RecentRecord{value, now});
+    if (m_recentRecords.size() <= m_options.maxRecentRecords) {
         return;
     }
-    std::erase_if(m_remembered, [&](const auto &entry) {
-        return now - entry.second.at > m_options.rememberedFor;
+    std::erase_if(m_recentRecords, [&](const auto &entry) {
+        return now - entry.second.at > m_options.recentRecordAge;
     });
-    while (m_remembered.size() > m_options.mostRemembered) {
-        m_remembered.erase(std::min_element(m_remembered.begin(), m_remembered.end(), [](const auto &a, const auto &b) {
+    while (m_recentRecords.size() > m_options.maxRecentRecords) {
+        m_recentRecords.erase(std::min_element(m_recentRecords.begin(), m_recentRecords.end(), [](const auto &a, const auto &b) {
             return a.second.at < b.second.at;
         }));
     }
 }
 
-std::map<std::string, Guard::Remembered> Guard::toRestore(Clock::time_point now)
+// Returns the recent records once after each restore of the store; else nothing.
+std::map<std::string, Guard::RecentRecord> Guard::takeRecordsToRestore(Clock::time_point now)
 {
     noteEpoch(m_api.epoch(), now);
     std::lock_guard lock(m_mutex);
@@ -84,13 +87,13 @@
         return {};
     }
     m_restorePending = false;
-    return m_remembered;
+    return m_recentRecords;
 }
 
 Task<void> Guard::restoreLost()
 {
-    for (const auto &[name, kept] : toRestore(Clock::now())) {
-        auto written = co_await writeAgain(name, kept.value);
+    for (const auto &[name, recent] : takeRecordsToRestore(Clock::now())) {
+        auto written = co_await rewriteRecord(name, recent.value);
         const bool failed = !ok(written) && std::get<Error>(written).code != store::Conflict;
         if (failed) {
             std::lock_guard lock(m_mutex);
@@ -100,22 +103,22 @@
     }
 }
 
-// Writes a record of this router that the store may hold in an older state, or
-// not at all; Conflict where another claim stands.
-Task<Result<platform::Object>> Guard::writeAgain(std::string name, nlohmann::json record)
+// Writes a record of this router that the store may hold in an older state or
+// not at all. Fails with Conflict when the store holds another attempt's claim.
+Task<Result<platform::Object>> Guard::rewriteRecord(std::string name, nlohmann::json record)
 {
     auto got = co_await m_api.get(m_kind, name, platform::Freshness::Current);
     if (!ok(got) && std::get<Error>(got).code != store::NotFound) {
         co_return std::move(got);
     }
-    const auto *held = std::get_if<platform::Object>(&got);
-    if (held && held->value == record) {
+    const auto *stored = std::get_if<platform::Object>(&got);
+    if (stored && stored->value == record) {
         co_return std::move(got);
     }
-    if (held && held->value.value("nonce", "") != record.value("nonce", "")) {
-        co_return Error{store::Conflict, "another claim stands"};
+    if (stored && stored->value.value("nonce", "") != record.value("nonce", "")) {
+        co_return Error{store::Conflict, "another attempt holds the claim"};
     }
-    co_return co_await m_api.put(m_kind, name, record, held ? held->version : 0);
+    co_return co_await m_api.put(m_kind, name, record, stored ? stored->version : 0);
 }
 
 std::string Guard::recordName(const std::string &workspace, const std::string &key)
@@ -126,16 +129,16 @@
             c = '_';
         }
     }
-    // The hash goes first: it keeps two keys that differ only in replaced
-    // characters apart, and spreads the names, so that a sweep may start
-    // anywhere (duties.h).
+    // The hash distinguishes keys that differ only in replaced characters. As a
+    // prefix it also spreads the names evenly, so that a sweep (duties.h) may
+    // start at a random name.
     char prefix[20];
     snprintf(prefix, sizeof prefix, "%016llx.", static_cast<unsigned long long>(ring::hash(workspace + "\n" + key)));
     return prefix + out;
 }
 
-// Decides what an existing record means for this attempt.
-Claim Guard::decide(const platform::Object &existing, uint64_t requestHash, const std::string &nonce)
+// Returns what an existing record means for this attempt.
+Claim Guard::interpretRecord(const platform::Object &existing, uint64_t requestHash, const std::string &nonce)
 {
     Claim c;
     c.record = existing;
@@ -150,58 +153,58 @@
         c.storedStatus = v.value("status", 200u);
         c.storedBody = v.value("body", "");
     } else if (state == "started" && v.value("nonce", "") == nonce) {
-        c.decision = Decision::Run; // our own claim, whose answer was lost
+        c.decision = Decision::Run; // this attempt's own claim; the store's answer to it was lost
     } else if (state == "started") {
         c.decision = Decision::InProgress;
     } else {
-        c.decision = Decision::NotRun; // released: the caller may try again
+        c.decision = Decision::NotRun; // released: the call may be claimed again
     }
     return c;
 }
 
 Task<Claim> Guard::claim(std::string workspace, std::string key, uint64_t requestHash)
 {
-    if (restoring(Clock::now())) {
+    if (claimsSuspended(Clock::now())) {
         co_return Claim{};
     }
     const std::string name = recordName(workspace, key);
-    const std::string nonce = m_owner + "-" + m_boot + "-" + std::to_string(++m_attempts);
-    const nlohmann::json started = startedRecord(m_owner, nonce, requestHash);
+    const std::string nonce = m_owner + "-" + m_processId + "-" + std::to_string(++m_attempts);
+    const nlohmann::json startedValue = startedRecord(m_owner, nonce, requestHash);
     std::optional<uint64_t> ifVersion = 0; // create only
-    for (int attempt = 0; attempt < maxTries; ++attempt) {
-        auto put = co_await m_api.put(m_kind, name, started, ifVersion);
+    for (int attempt = 0; attempt < maxStoreAttempts; ++attempt) {
+        auto put = co_await m_api.put(m_kind, name, startedValue, ifVersion);
         if (ok(put)) {
-            Claim won;
-            won.decision = Decision::Run;
-            won.record = std::get<platform::Object>(put);
-            remember(name, started);
-            if (restoring(Clock::now())) { // the claim itself brought the news
-                co_await settle(won, released(won));
+            Claim granted;
+            granted.decision = Decision::Run;
+            granted.record = std::get<platform::Object>(put);
+            addRecent(name, startedValue);
+            if (claimsSuspended(Clock::now())) { // the answer to the claim revealed a restore
+                co_await settle(granted, released(granted));
                 co_return Claim{};
             }
-            co_return won;
+            co_return granted;
         }
         const auto &err = std::get<Error>(put);
         if (err.code == store::Unavailable || err.code == 429) {
-            co_return Claim{}; // the store did not take the claim: not run
+            co_return Claim{}; // the store did not accept the claim
         }
-        // Conflict, or a lost answer: read what stands now.
+        // A conflict or a lost answer: the stored record shows which claim holds.
         auto got = co_await m_api.get(m_kind, name, platform::Freshness::Current);
         if (!ok(got)) {
             if (std::get<Error>(got).code == store::NotFound && err.code == store::AnswerLost) {
-                continue; // the lost write did not take effect: try again
+                continue; // the write did not take effect
             }
-            // Unknown whether our claim stands; it is not run by us now, and
-            // a retry finds our record and reports it in progress.
+            // After a lost answer it is unknown whether the claim holds. The
+            // call is not run; a retry that finds the claim reports it in progress.
             Claim c;
             c.decision = err.code == store::AnswerLost ? Decision::InProgress : Decision::NotRun;
             co_return c;
         }
-        auto c = decide(std::get<platform::Object>(got), requestHash, nonce);
+        auto c = interpretRecord(std::get<platform::Object>(got), requestHash, nonce);
         if (c.decision != Decision::NotRun) {
             co_return c;
         }
-        ifVersion = c.record.version; // a released claim: take it over
+        ifVersion = c.record.version; // overwrites the released claim
     }
     co_return Claim{};
 }
@@ -225,19 +228,19 @@
 Task<Result<platform::Object>> Guard::settle(Claim claim, nlohmann::json record)
 {
     auto put = co_await m_api.put(m_kind, claim.record.name, record, claim.record.version);
-    remember(claim.record.name, record);
+    addRecent(claim.record.name, record);
     if (ok(put)) {
         co_return std::move(put);
     }
     const auto error = std::get<Error>(put);
     const bool mayBeLost = m_api.epoch() > claim.record.epoch && (error.code == store::NotFound || error.code == store::Conflict);
     if (mayBeLost) {
-        co_return co_await writeAgain(claim.record.name, record);
+        co_return co_await rewriteRecord(claim.record.name, record);
     }
     if (error.code != store::AnswerLost && error.code != store::Conflict) {
         co_return error;
     }
-    // Our own write may stand, its answer lost now or on an earlier try.
+    // The write may have taken effect, with its answer lost now or in an earlier attempt.
     auto got = co_await m_api.get(m_kind, claim.record.name, platform::Freshness::Current);
     if (ok(got) && std::get<platform::Object>(got).value == record) {
         co_return std::move(got);
@@ -247,16 +250,16 @@
 
 Task<bool> Guard::settleEventually(Claim claim, nlohmann::json record)
 {
-    Millis pause = firstSettlePause;
-    for (Millis waited{0};; waited += pause, pause = std::min(pause * 2, longestSettlePause)) {
+    Millis delay = initialSettleDelay;
+    for (Millis totalDelay{0};; totalDelay += delay, delay = std::min(delay * 2, maxSettleDelay)) {
         auto settled = co_await settle(claim, record);
         if (ok(settled)) {
             co_return true;
         }
-        if (std::get<Error>(settled).code == store::Conflict || waited >= settleLimit) {
+        if (std::get<Error>(settled).code == store::Conflict || totalDelay >= settleTimeout) {
             co_return false;
         }
-        co_await sleepFor(pause);
+        co_await sleepFor(delay);
     }
 }
 
--- a/src/lease.cpp
+++ b/src/lease.cpp
@@ -8,12 +8,12 @@
 
 namespace
 {
-constexpr int marginDivisor = 4; ///< a holder stops acting this part of the duration before others may act
-constexpr int epochShift = 40; ///< fencing numbers of one epoch: each is above all of the epochs before, whose last ones may be lost
+constexpr int safetyMarginDivisor = 4; ///< the holder stops acting a quarter of the duration before others may take the lease
+constexpr int fenceEpochShift = 40; ///< each epoch has its own range of tokens, above all tokens of earlier epochs, since the store may have lost the last ones
 
 uint64_t nextFence(uint64_t last, store::Epoch epoch)
 {
-    return std::max(last + 1, epoch << epochShift);
+    return std::max(last + 1, epoch << fenceEpochShift);
 }
 } // namespace
 
@@ -38,39 +38,41 @@
     return m_version != 0 && m_epoch == m_api.epoch() && m_clock() < m_heldUntil;
 }
 
-// True while a holder may act whose record the store has lost: for a term since
-// the epoch has been known. No store has lost anything in its first epoch.
-bool Lease::mayHaveLostHolder(store::Epoch epoch)
+// True while a holder may still act whose record the store has lost in a
+// restore: for one duration since this process learned of the epoch. In epoch 0
+// the store has lost nothing.
+bool Lease::mayHaveUnknownHolder(store::Epoch epoch)
 {
-    if (epoch > m_epochSeen.epoch) {
-        m_epochSeen = {epoch, 0, m_clock()};
+    if (epoch > m_observedEpoch.epoch) {
+        m_observedEpoch = {epoch, 0, m_clock()};
     }
-    return epoch > 0 && m_clock() - m_epochSeen.since < m_duration;
+    return epoch > 0 && m_clock() - m_observedEpoch.since < m_duration;
 }
 
-// True when another's record has stood unchanged for its whole duration, by
-// this process's own clock.
-bool Lease::lapsed(const platform::Object &object)
+// True when the record was released, or has been unchanged for its whole
+// duration by this process's clock.
+bool Lease::hasExpired(const platform::Object &object)
 {
     if (object.value.value("holder", "").empty()) {
         return true; // released
     }
-    if (m_seen.version != object.version || m_seen.epoch != object.epoch) {
-        m_seen = {object.epoch, object.version, m_clock()};
+    if (m_observedRecord.version != object.version || m_observedRecord.epoch != object.epoch) {
+        m_observedRecord = {object.epoch, object.version, m_clock()};
         return false;
     }
-    return m_clock() - m_seen.since >= Millis(object.value.value("durationMs", m_duration.count()));
+    return m_clock() - m_observedRecord.since >= Millis(object.value.value("durationMs", m_duration.count()));
 }
 
-// Writes our record; the term counts from before the write was sent. In another
-// epoch than expected the version may have stood for another record.
-Task<bool> Lease::write(std::optional<uint64_t> ifVersion, uint64_t fence, BootTime began, store::Epoch epoch)
+// Writes this process's record; the duration counts from before the write was
+// sent. Returns false when the write failed, or took effect in another epoch
+// than expected: there the version may have belonged to another record.
+Task<bool> Lease::writeRecord(std::optional<uint64_t> ifVersion, uint64_t fence, BootTime startedAt, store::Epoch epoch)
 {
     nlohmann::json record;
     record["holder"] = m_holder;
     record["fence"] = fence;
     record["durationMs"] = m_duration.count();
-    record["renewal"] = began.count(); // makes each record differ from the last
+    record["renewal"] = startedAt.count(); // makes each record differ from the one before
     auto put = co_await m_api.put(leaseKind, m_name, record, ifVersion);
     if (!ok(put) && std::get<Error>(put).code == store::AnswerLost) {
         put = co_await m_api.get(leaseKind, m_name, platform::Freshness::Current);
@@ -89,31 +91,31 @@
     m_version = written.version;
     m_epoch = epoch;
     m_fence = fence;
-    m_heldUntil = began + m_duration - m_duration / marginDivisor;
+    m_heldUntil = startedAt + m_duration - m_duration / safetyMarginDivisor;
     co_return true;
 }
 
 Task<bool> Lease::acquireOrRenew()
 {
-    const BootTime began = m_clock();
+    const BootTime startedAt = m_clock();
     if (held()) {
-        const bool renewed = co_await write(m_version, m_fence, began, m_epoch);
+        const bool renewed = co_await writeRecord(m_version, m_fence, startedAt, m_epoch);
         co_return renewed || held();
     }
     m_version = 0;
-    auto got = co_await m_api.get(leaseKind, m_name, platform::Freshness::Current);
-    if (!ok(got) && std::get<Error>(got).code != store::NotFound) {
+    auto stored = co_await m_api.get(leaseKind, m_name, platform::Freshness::Current);
+    if (!ok(stored) && std::get<Error>(stored).code != store::NotFound) {
         co_return false;
     }
-    const bool exists = ok(got);
-    const auto object = exists ? std::get<platform::Object>(got) : platform::Object{};
+    const bool exists = ok(stored);
+    const auto object = exists ? std::get<platform::Object>(stored) : platform::Object{};
     const auto epoch = exists ? object.epoch : m_api.epoch();
-    if (mayHaveLostHolder(epoch) || (exists && !lapsed(object))) {
+    if (mayHaveUnknownHolder(epoch) || (exists && !hasExpired(object))) {
         co_return false;
     }
-    // A new term, also after one's own lapsed: its orders get a new number.
+    // A new term gets a new token, also when this process held the lease before.
     const uint64_t last = exists ? object.value.value("fence", uint64_t{0}) : 0;
-    co_return co_await write(object.version, nextFence(last, epoch), began, epoch);
+    co_return co_await writeRecord(object.version, nextFence(last, epoch), startedAt, epoch);
 }
 
 Task<void> Lease::release()
--- a/src/orders.cpp
+++ b/src/orders.cpp
@@ -7,7 +7,7 @@
 
 namespace
 {
-constexpr const char *orderWorkspace = "orders"; ///< stands where a caller's record has its workspace
+constexpr const char *claimWorkspace = "orders"; ///< takes the place of the workspace in the claims of orders
 constexpr unsigned appliedStatus = 200;
 constexpr unsigned refusedStatus = 409;
 } // namespace
@@ -17,7 +17,7 @@
     return ring::hash(order.kind + "\n" + order.argument, ring::hash(order.id));
 }
 
-Desk::Desk(platform::ObjectApi &api, lease::Lease &lease, std::string holder, Sender sender, quarantine::RequestQuarantine &quarantine)
+Dispatcher::Dispatcher(platform::ObjectApi &api, lease::Lease &lease, std::string holder, Sender sender, quarantine::RequestQuarantine &quarantine)
     : m_lease(lease)
     , m_guard(api, std::move(holder), recordKind)
     , m_sender(std::move(sender))
@@ -25,7 +25,7 @@
 {
 }
 
-Task<OrderResult> Desk::carryOut(Order order)
+Task<OrderResult> Dispatcher::dispatch(Order order)
 {
     if (!m_lease.held()) {
         co_return OrderResult::NotHolder;
@@ -34,7 +34,7 @@
         co_return OrderResult::Quarantined;
     }
     const std::string key = order.engine + "/" + order.id;
-    auto claim = co_await m_guard.claim(orderWorkspace, key, ring::hash(order.kind + "\n" + order.argument));
+    auto claim = co_await m_guard.claim(claimWorkspace, key, ring::hash(order.kind + "\n" + order.argument));
     switch (claim.decision) {
     case idempotency::Decision::Run:
         break;
@@ -46,8 +46,7 @@
     case idempotency::Decision::NotRun:
         co_return OrderResult::NotSent;
     }
-    // The claim took its time: a holder that was paused or waited for the
-    // store may have lost the lease since.
+    // This process may have lost the lease while it waited for the store or was paused.
     if (!m_lease.held()) {
         co_await m_guard.settle(claim, idempotency::Guard::released(claim));
         co_return OrderResult::NotHolder;
@@ -59,7 +58,7 @@
         co_await m_guard.settleEventually(claim, idempotency::Guard::completed(claim, appliedStatus, ""));
         co_return OrderResult::Applied;
     case Ack::StaleFence:
-        // Not applied: the holder of the newer number may send it itself.
+        // Not applied; the holder with the newer token may send the order itself.
         co_await m_guard.settle(claim, idempotency::Guard::released(claim));
         co_return OrderResult::Refused;
     case Ack::NotSent:
@@ -67,9 +66,9 @@
         co_return OrderResult::NotSent;
     case Ack::EngineEnded:
         m_quarantine.ended(contentKey(order), ring::hash(order.engine), Clock::now());
-        co_return OrderResult::EngineEnded; // as below: it may have acted
+        co_return OrderResult::EngineEnded; // the record stays "started", as for Unknown
     case Ack::Unknown:
-        break; // the record stays "started": the order is not sent again
+        break; // the engine may have applied it: the record stays "started", so the order is not sent again
     }
     co_return OrderResult::Pending;
 }
--- a/src/orders.h
+++ b/src/orders.h
@@ -1,6 +1,6 @@
-// Orders to engines (load a model, drain): each is sent by the holder of a
-// lease, carries its fencing number, and acts at most once also at engines
-// that ignore that number.
+// Orders to engines (load a model, drain). Each is sent by the holder of a lease
+// with its fencing token, and takes effect at most once, also at engines that
+// do not check the token.
 #pragma once
 
 #include "idempotency.h"
@@ -14,9 +14,9 @@
 namespace yucca::orders
 {
 
-/// The object kind that holds the records of orders: they outlive those of
-/// callers' requests, which are swept, since an order without its record would
-/// be sent again.
+/// The object kind of the records of orders. Unlike the records of callers'
+/// requests they are never swept, because an order without its record would be
+/// sent again.
 inline constexpr const char *recordKind = "order";
 
 /// One order to one engine.
@@ -24,21 +24,22 @@
     std::string engine; ///< endpoint id
     std::string kind; ///< load_model, set_role, drain, undrain
     std::string argument;
-    std::string id; ///< equal for equal intents: an order is sent once per id
+    std::string id; ///< names the intent; an engine is sent an order once per id
 };
 
-/// The same for one intent at all engines: endings under it are counted together.
+/// Returns the content hash of an order for the quarantine. It does not depend
+/// on the engine, so that crashes under one order are counted over all engines.
 uint64_t contentKey(const Order &order);
 
-/// What became of an order.
+/// The outcome of an order.
 enum class OrderResult {
-    Applied, ///< the engine took it, now or earlier
-    Refused, ///< the engine refused the fencing number
-    NotHolder, ///< the lease is not held: nothing was sent
-    Pending, ///< another holder has it in hand, or its outcome is not known
-    NotSent, ///< the store or the engine could not be reached; may be tried again
-    EngineEnded, ///< the engine ended while it carried the order out
-    Quarantined, ///< several engines ended under the same order: not sent to others for now
+    Applied, ///< the engine applied it, now or earlier
+    Refused, ///< the engine refused the fencing token
+    NotHolder, ///< the lease is not held, so nothing was sent
+    Pending, ///< another process has claimed it, or its outcome is unknown
+    NotSent, ///< the store or the engine could not be reached, or the engine takes no orders now; may be retried
+    EngineEnded, ///< the engine crashed while it ran the order
+    Quarantined, ///< several engines crashed under the same order, so it is not sent to others for now
 };
 
 inline constexpr NameTable<OrderResult, 7> orderResultNames{{{OrderResult::Applied, "applied"},
@@ -49,29 +50,31 @@
                                                              {OrderResult::EngineEnded, "engine_ended"},
                                                              {OrderResult::Quarantined, "quarantined"}}};
 
-/// How an engine answered an order, or that it could not be asked.
+/// The result of sending an order to its engine.
 enum class Ack {
     Applied,
-    StaleFence,
-    NotSent, ///< certainly not received
-    Unknown, ///< sent; no answer
-    EngineEnded, ///< sent; the engine has ended since
+    StaleFence, ///< refused: the engine has seen a higher fencing token
+    NotSent, ///< the engine certainly did not apply it
+    Unknown, ///< sent, and the engine may have applied it
+    EngineEnded, ///< sent, and the engine has crashed since
 };
 
-/// Sends an order with a fencing number to its engine.
+/// Sends an order with a fencing token to its engine.
 using Sender = std::function<Task<Ack>(Order, uint64_t fence)>;
 
-/// Carries out orders under a lease. An order is claimed in the object API
-/// before it is sent, so that of two processes that both believe to hold the
-/// lease only one sends it; the holder looks at its lease again after the
-/// claim, so that one that was paused meanwhile does not send. An order under which engines end does not go round the whole pool.
-class Desk
+/// Sends orders under a lease. An order is claimed in the store before it is
+/// sent, so that only one of two processes that both believe to hold the lease
+/// sends it. The lease is checked again after the claim, so that a holder that
+/// was paused meanwhile does not send. An order that crashes engines is
+/// quarantined, so that it does not reach the whole pool.
+class Dispatcher
 {
 public:
-    Desk(platform::ObjectApi &api, lease::Lease &lease, std::string holder, Sender sender, quarantine::RequestQuarantine &quarantine);
+    Dispatcher(platform::ObjectApi &api, lease::Lease &lease, std::string holder, Sender sender, quarantine::RequestQuarantine &quarantine);
 
-    Task<OrderResult> carryOut(Order order);
-    /// Writes again the records of orders that a store lost which returned from an older copy.
+    /// Claims the order, sends it to its engine and records the outcome.
+    Task<OrderResult> dispatch(Order order);
+    /// Rewrites the records of orders that the store lost when it was restored from a backup.
     Task<void> restoreLost()
     {
         return m_guard.restoreLost();
--- a/src/quarantine.cpp
+++ b/src/quarantine.cpp
@@ -9,23 +9,23 @@
 namespace yucca::quarantine
 {
 
-bool RequestQuarantine::held(const Record &record, Clock::time_point now) const
+bool RequestQuarantine::isQuarantined(const Record &record, Clock::time_point now) const
 {
-    return record.endpoints.size() >= m_options.mostEndings && now < record.lastAt + m_options.heldFor;
+    return record.endpoints.size() >= m_options.mostEndings && now < record.lastAt + m_options.quarantineDuration;
 }
 
 std::optional<Clock::time_point> RequestQuarantine::heldUntil(uint64_t content, Clock::time_point now) const
 {
     std::lock_guard lock(m_mutex);
     const auto it = m_records.find(content);
-    if (it != m_records.end() && held(it->second, now)) {
-        return it->second.lastAt + m_options.heldFor;
+    if (it != m_records.end() && isQuarantined(it->second, now)) {
+        return it->second.lastAt + m_options.quarantineDuration;
     }
     const auto until = suspectedUntil(content, now);
     return until ? std::optional(std::min<Clock::time_point>(*until, now + m_options.askAgainAfter)) : std::nullopt;
 }
 
-// Until when endings and suspicions together keep a request from endpoints.
+// Returns the time until which crashes and suspicions together hold a content back, or nothing when too few of them count.
 std::optional<Clock::time_point> RequestQuarantine::suspectedUntil(uint64_t content, Clock::time_point now) const
 {
     const auto suspicions = m_suspicions.find(content);
@@ -33,12 +33,12 @@
         return std::nullopt;
     }
     const auto it = m_records.find(content);
-    const bool counts = it != m_records.end() && now < it->second.lastAt + m_options.heldFor;
+    const bool counts = it != m_records.end() && now < it->second.lastAt + m_options.quarantineDuration;
     const auto ended = counts ? it->second.endpoints : std::vector<uint64_t>();
     std::size_t suspected = 0;
     auto last = now;
     for (const auto &[endpoint, at] : suspicions->second) {
-        const auto until = at + m_options.suspectedFor;
+        const auto until = at + m_options.suspicionTimeout;
         if (until > now && !std::binary_search(ended.begin(), ended.end(), endpoint)) {
             ++suspected;
             last = std::max(last, until);
@@ -47,99 +47,100 @@
     return suspected > 0 && ended.size() + suspected >= m_options.mostEndings ? std::optional(last) : std::nullopt;
 }
 
-// True when all routers are to hear of a request at once.
-bool RequestQuarantine::urgent(uint64_t content, Clock::time_point now) const
+// True when all routers must learn of a content at once.
+bool RequestQuarantine::isUrgent(uint64_t content, Clock::time_point now) const
 {
     const auto it = m_records.find(content);
     return (it != m_records.end() && it->second.endpoints.size() >= m_options.leastShared) || suspectedUntil(content, now);
 }
 
-void RequestQuarantine::tellSoon(bool urgentNews) const
+void RequestQuarantine::notifyIfUrgent(bool urgentUpdate) const
 {
-    if (urgentNews && onNews) {
+    if (urgentUpdate && onNews) {
         onNews();
     }
 }
 
 void RequestQuarantine::broke(uint64_t content, uint64_t endpoint, Clock::time_point now)
 {
-    bool urgentNews = false;
+    bool urgentUpdate = false;
     {
         std::lock_guard lock(m_mutex);
         const Suspicion suspicion{content, endpoint, now};
-        if (!suspect(suspicion, now)) {
+        if (!addSuspicion(suspicion, now)) {
             return;
         }
-        m_suspicionsToTell.push_back(suspicion);
+        m_pendingSuspicions.push_back(suspicion);
         if (suspectedUntil(content, now)) {
             broadcastSuspicions(content);
         }
-        if (m_suspicionsToTell.size() > m_options.mostSuspicionsTold) {
-            m_suspicionsToTell.pop_front();
+        if (m_pendingSuspicions.size() > m_options.maxQueuedSuspicions) {
+            m_pendingSuspicions.pop_front();
         }
-        urgentNews = urgent(content, now);
+        urgentUpdate = isUrgent(content, now);
     }
-    tellSoon(urgentNews);
+    notifyIfUrgent(urgentUpdate);
 }
 
 void RequestQuarantine::told(const Suspicion &suspicion, Clock::time_point now)
 {
-    bool urgentNews = false;
+    bool urgentUpdate = false;
     {
         std::lock_guard lock(m_mutex);
-        if (trusted(suspicion.content, suspicion.at)) {
-            // Those that hold it back have not seen the answer that clears it.
-            m_answersToTell[suspicion.content] = m_options.timesTold;
+        if (recentlyAnswered(suspicion.content, suspicion.at)) {
+            // The sender has not seen the answer that clears the content.
+            m_pendingAnswers[suspicion.content] = m_options.sendsPerUpdate;
             return;
         }
-        const bool news = suspect(suspicion, now);
-        urgentNews = news && suspectedUntil(suspicion.content, now);
-        if (urgentNews) {
+        const bool added = addSuspicion(suspicion, now);
+        urgentUpdate = added && suspectedUntil(suspicion.content, now);
+        if (urgentUpdate) {
             broadcastSuspicions(suspicion.content);
         }
     }
-    tellSoon(urgentNews);
+    notifyIfUrgent(urgentUpdate);
 }
 
-// Queues all that is held against a request for every router. The few that
-// count single suspicions are not the ones that its repeats reach.
+// Queues the record and all suspicions of a content for all routers: its
+// retries may reach routers other than the few that count single suspicions.
 void RequestQuarantine::broadcastSuspicions(uint64_t content)
 {
     m_urgent.insert(content);
     if (m_records.count(content)) {
-        m_recordsToTell[content] = m_options.timesTold;
+        m_pendingRecords[content] = m_options.sendsPerUpdate;
     }
-    std::erase_if(m_suspicionsToTell, [content](const Suspicion &queued) {
+    std::erase_if(m_pendingSuspicions, [content](const Suspicion &queued) {
         return queued.content == content;
     });
     for (const auto &[endpoint, at] : m_suspicions[content]) {
-        m_suspicionsToTell.push_back({content, endpoint, at});
+        m_pendingSuspicions.push_back({content, endpoint, at});
     }
 }
 
-// Takes a suspicion; false where it is known already, or not held against the request.
-bool RequestQuarantine::suspect(const Suspicion &suspicion, Clock::time_point now)
+// Adds a suspicion. Returns false when it is known already, expired, or within answerGrace of a complete answer.
+bool RequestQuarantine::addSuspicion(const Suspicion &suspicion, Clock::time_point now)
 {
-    if (trusted(suspicion.content, suspicion.at) || now >= suspicion.at + m_options.suspectedFor) {
+    if (recentlyAnswered(suspicion.content, suspicion.at) || now >= suspicion.at + m_options.suspicionTimeout) {
         return false;
     }
-    forgetSuspicions(now);
+    pruneSuspicions(now);
     return m_suspicions[suspicion.content].try_emplace(suspicion.endpoint, suspicion.at).second;
 }
 
-void RequestQuarantine::forgetSuspicions(Clock::time_point now)
+// Makes room for a new suspicion when the limit is reached.
+void RequestQuarantine::pruneSuspicions(Clock::time_point now)
 {
-    if (m_suspicions.size() < m_options.mostSuspected) {
+    if (m_suspicions.size() < m_options.maxSuspectedRequests) {
         return;
     }
     for (auto it = m_suspicions.begin(); it != m_suspicions.end();) {
         std::erase_if(it->second, [&](const auto &entry) {
-            return now >= entry.second + m_options.suspectedFor;
+            return now >= entry.second + m_options.suspicionTimeout;
         });
         it = it->second.empty() ? m_suspicions.erase(it) : std::next(it);
     }
-    if (m_suspicions.size() >= m_options.mostSuspected) {
-        m_suspicions.clear(); // costs seconds until the endings themselves are known
+    if (m_suspicions.size() >= m_options.maxSuspectedRequests) {
+        m_suspicions.clear(); // the crashes themselves become known within seconds
     }
 }
 
@@ -163,58 +164,57 @@
 {
     std::lock_guard lock(m_mutex);
     return static_cast<std::size_t>(std::count_if(m_records.begin(), m_records.end(), [&](const auto &entry) {
-        return held(entry.second, now);
+        return isQuarantined(entry.second, now);
     }));
 }
 
 void RequestQuarantine::ended(uint64_t content, uint64_t endpoint, Clock::time_point now)
 {
-    bool urgentNews = false;
+    bool urgentUpdate = false;
     {
         std::lock_guard lock(m_mutex);
-        if (trusted(content, now)) {
+        if (recentlyAnswered(content, now)) {
             return;
         }
-        urgentNews = merge({content, {endpoint}, now}, now) >= m_options.leastShared;
-        if (urgentNews) {
+        urgentUpdate = merge({content, {endpoint}, now}, now) >= m_options.leastShared;
+        if (urgentUpdate) {
             m_unsaved.insert(content);
         }
     }
-    tellSoon(urgentNews);
+    notifyIfUrgent(urgentUpdate);
 }
 
 void RequestQuarantine::answered(uint64_t content, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
     const Answer answer{content, now};
-    noteAnswer(answer);
-    if (clear(answer)) {
+    addAnswer(answer);
+    if (clearContent(answer)) {
         m_unsaved.insert(content);
     }
 }
 
-// A router that has seen the request answered says so to those that blame it.
 void RequestQuarantine::told(const Record &record, Clock::time_point now)
 {
-    bool urgentNews = false;
+    bool urgentUpdate = false;
     {
         std::lock_guard lock(m_mutex);
-        urgentNews = take(record, now);
+        urgentUpdate = acceptRecord(record, now);
     }
-    tellSoon(urgentNews);
+    notifyIfUrgent(urgentUpdate);
 }
 
-// Takes a record of another router or the store. True when it is news for all.
-bool RequestQuarantine::take(const Record &record, Clock::time_point now)
+// Merges a record from another router or the store. Returns true when it adds to what is known and all routers must learn of it.
+bool RequestQuarantine::acceptRecord(const Record &record, Clock::time_point now)
 {
-    if (now > record.lastAt + m_options.rememberedFor) {
+    if (now > record.lastAt + m_options.recordRetention) {
         return false;
     }
-    if (trusted(record.content, record.lastAt)) {
-        m_answersToTell[record.content] = m_options.timesTold;
+    if (recentlyAnswered(record.content, record.lastAt)) {
+        m_pendingAnswers[record.content] = m_options.sendsPerUpdate;
         return false;
     }
-    // What was told whole was saved by whoever brought it together.
+    // A record that already contains all known crashes was saved by the router that merged it.
     const auto endings = merge(record, now);
     if (endings > record.endpoints.size() && endings >= m_options.leastShared) {
         m_unsaved.insert(record.content);
@@ -225,137 +225,140 @@
 void RequestQuarantine::told(const Answer &answer)
 {
     std::lock_guard lock(m_mutex);
-    noteAnswer(answer);
-    clear(answer);
+    addAnswer(answer);
+    clearContent(answer);
 }
 
-bool RequestQuarantine::trusted(uint64_t content, Clock::time_point endedAt) const
+// True when the crash at endedAt falls within answerGrace of a complete answer, or before the answer.
+bool RequestQuarantine::recentlyAnswered(uint64_t content, Clock::time_point endedAt) const
 {
     const auto it = m_answers.find(content);
-    return it != m_answers.end() && endedAt <= it->second + m_options.trustedFor;
+    return it != m_answers.end() && endedAt <= it->second + m_options.answerGrace;
 }
 
-// Adds what a record has to the one held, and tells news on. The number of
-// endings known then; 0 when nothing is new.
+// Merges a record into the known one and queues it for sending when it adds a
+// crash. Returns the number of known crashes; 0 when nothing was added.
 std::size_t RequestQuarantine::merge(const Record &record, Clock::time_point now)
 {
-    auto &own = m_records.try_emplace(record.content, Record{record.content, {}, record.lastAt}).first->second;
-    const bool heldBefore = held(own, now);
-    std::vector<uint64_t> both;
-    std::set_union(own.endpoints.begin(), own.endpoints.end(), record.endpoints.begin(), record.endpoints.end(), std::back_inserter(both));
-    both.resize(std::min(both.size(), m_options.mostEndpoints));
-    const bool news = both != own.endpoints;
-    own.endpoints = std::move(both);
-    own.lastAt = std::max(own.lastAt, record.lastAt);
-    if (news) {
-        m_recordsToTell[record.content] = m_options.timesTold;
-    }
-    if (held(own, now) && !heldBefore) {
+    auto &known = m_records.try_emplace(record.content, Record{record.content, {}, record.lastAt}).first->second;
+    const bool wasQuarantined = isQuarantined(known, now);
+    std::vector<uint64_t> merged;
+    std::set_union(known.endpoints.begin(), known.endpoints.end(), record.endpoints.begin(), record.endpoints.end(), std::back_inserter(merged));
+    merged.resize(std::min(merged.size(), m_options.maxEndpointsPerRecord));
+    const bool changed = merged != known.endpoints;
+    known.endpoints = std::move(merged);
+    known.lastAt = std::max(known.lastAt, record.lastAt);
+    if (changed) {
+        m_pendingRecords[record.content] = m_options.sendsPerUpdate;
+    }
+    if (isQuarantined(known, now) && !wasQuarantined) {
         log::Line{log::Event::RequestQuarantined}
             .add("content", text::hex(record.content))
-            .add("endpoints", static_cast<int64_t>(own.endpoints.size()))
-            .add("for_ms", std::chrono::duration_cast<Millis>(own.lastAt + m_options.heldFor - now).count());
+            .add("endpoints", static_cast<int64_t>(known.endpoints.size()))
+            .add("for_ms", std::chrono::duration_cast<Millis>(known.lastAt + m_options.quarantineDuration - now).count());
     }
-    const auto endings = own.endpoints.size();
-    forgetOldest();
-    return news ? endings : 0;
+    const auto endings = known.endpoints.size();
+    evictRecord();
+    return changed ? endings : 0;
 }
 
-void RequestQuarantine::noteAnswer(const Answer &answer)
+void RequestQuarantine::addAnswer(const Answer &answer)
 {
     auto &at = m_answers.try_emplace(answer.content, answer.at).first->second;
     at = std::max(at, answer.at);
-    if (m_answers.size() > m_options.mostAnswers) {
+    if (m_answers.size() > m_options.maxAnswers) {
         std::erase_if(m_answers, [&](const auto &entry) {
-            return entry.second + m_options.trustedFor < answer.at;
+            return entry.second + m_options.answerGrace < answer.at;
         });
     }
-    if (m_answers.size() > m_options.mostAnswers) {
-        m_answers.clear(); // costs trust that the next answer brings back
+    if (m_answers.size() > m_options.maxAnswers) {
+        m_answers.clear(); // the next complete answer to a content restores its grace
         m_answers[answer.content] = answer.at;
     }
 }
 
-// Ends suspicion of a request. True when there was one, which is then told on.
-bool RequestQuarantine::clear(const Answer &answer)
+// Removes the suspicions and the record of an answered content. Returns true
+// when there was a record; the answer is then queued for the other routers.
+bool RequestQuarantine::clearContent(const Answer &answer)
 {
     m_suspicions.erase(answer.content);
     const auto it = m_records.find(answer.content);
-    if (it == m_records.end() || !trusted(answer.content, it->second.lastAt)) {
+    if (it == m_records.end() || !recentlyAnswered(answer.content, it->second.lastAt)) {
         return false;
     }
     if (it->second.endpoints.size() >= m_options.leastShared) {
         log::Line{log::Event::RequestCleared}.add("content", text::hex(answer.content)).add("endpoints", static_cast<int64_t>(it->second.endpoints.size()));
     }
     m_records.erase(it);
-    m_recordsToTell.erase(answer.content);
-    m_answersToTell[answer.content] = m_options.timesTold;
+    m_pendingRecords.erase(answer.content);
+    m_pendingAnswers[answer.content] = m_options.sendsPerUpdate;
     return true;
 }
 
-void RequestQuarantine::forgetOldest()
+// Drops one record when there are too many.
+void RequestQuarantine::evictRecord()
 {
-    if (m_records.size() <= m_options.mostRecords) {
+    if (m_records.size() <= m_options.maxRecords) {
         return;
     }
-    // Those with the fewest endings first: of one ending most are innocent.
+    // The one with the fewest crashes goes first: of the contents with a single crash, most did not cause it.
     const auto oldest = std::min_element(m_records.begin(), m_records.end(), [](const auto &a, const auto &b) {
         return std::pair(a.second.endpoints.size(), a.second.lastAt) < std::pair(b.second.endpoints.size(), b.second.lastAt);
     });
-    m_recordsToTell.erase(oldest->first);
+    m_pendingRecords.erase(oldest->first);
     m_records.erase(oldest);
 }
 
-News RequestQuarantine::takeNews(std::size_t most)
+News RequestQuarantine::takeNews(std::size_t limit)
 {
     std::lock_guard lock(m_mutex);
     News news;
-    for (const auto &[content, times] : m_recordsToTell) {
+    for (const auto &[content, remainingSends] : m_pendingRecords) {
         news.records.push_back(m_records.at(content));
     }
     std::sort(news.records.begin(), news.records.end(), [](const Record &a, const Record &b) {
         return std::pair(a.endpoints.size(), a.lastAt) > std::pair(b.endpoints.size(), b.lastAt);
     });
-    news.records.resize(std::min(news.records.size(), most));
+    news.records.resize(std::min(news.records.size(), limit));
     for (const auto &record : news.records) {
-        if (--m_recordsToTell[record.content] <= 0) {
-            m_recordsToTell.erase(record.content);
+        if (--m_pendingRecords[record.content] <= 0) {
+            m_pendingRecords.erase(record.content);
         }
     }
-    while (!m_suspicionsToTell.empty() && news.suspicions.size() < most) {
-        news.suspicions.push_back(m_suspicionsToTell.back()); // the newest first
-        m_suspicionsToTell.pop_back();
+    while (!m_pendingSuspicions.empty() && news.suspicions.size() < limit) {
+        news.suspicions.push_back(m_pendingSuspicions.back()); // newest first
+        m_pendingSuspicions.pop_back();
     }
     news.urgent = m_urgent;
     std::erase_if(m_urgent, [this](uint64_t content) {
-        const bool queued = std::any_of(m_suspicionsToTell.begin(), m_suspicionsToTell.end(), [content](const Suspicion &s) {
+        const bool queued = std::any_of(m_pendingSuspicions.begin(), m_pendingSuspicions.end(), [content](const Suspicion &s) {
             return s.content == content;
         });
-        return !queued && !m_recordsToTell.count(content);
+        return !queued && !m_pendingRecords.count(content);
     });
-    for (auto it = m_answersToTell.begin(); it != m_answersToTell.end() && news.answers.size() < most;) {
+    for (auto it = m_pendingAnswers.begin(); it != m_pendingAnswers.end() && news.answers.size() < limit;) {
         const auto answer = m_answers.find(it->first);
         if (answer != m_answers.end()) {
             news.answers.push_back({it->first, answer->second});
         }
-        it = --it->second <= 0 || answer == m_answers.end() ? m_answersToTell.erase(it) : std::next(it);
+        it = --it->second <= 0 || answer == m_answers.end() ? m_pendingAnswers.erase(it) : std::next(it);
     }
     return news;
 }
 
-std::vector<Record> RequestQuarantine::someHeld(std::size_t most, Clock::time_point now)
+std::vector<Record> RequestQuarantine::someHeld(std::size_t limit, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
-    std::vector<Record> some;
-    auto it = m_records.upper_bound(m_lastTold);
-    for (std::size_t seen = 0; seen < m_records.size() && some.size() < most; ++seen, ++it) {
+    std::vector<Record> batch;
+    auto it = m_records.upper_bound(m_repeatCursor);
+    for (std::size_t seen = 0; seen < m_records.size() && batch.size() < limit; ++seen, ++it) {
         it = it == m_records.end() ? m_records.begin() : it;
-        if (held(it->second, now)) {
-            some.push_back(it->second);
-            m_lastTold = it->first;
+        if (isQuarantined(it->second, now)) {
+            batch.push_back(it->second);
+            m_repeatCursor = it->first;
         }
     }
-    return some;
+    return batch;
 }
 
 std::vector<uint64_t> RequestQuarantine::takeUnsaved()
@@ -366,7 +369,7 @@
     return unsaved;
 }
 
-void RequestQuarantine::allUnsaved()
+void RequestQuarantine::markAllUnsaved()
 {
     std::lock_guard lock(m_mutex);
     for (const auto &[content, record] : m_records) {
@@ -374,7 +377,7 @@
     }
 }
 
-void RequestQuarantine::notSaved(uint64_t content)
+void RequestQuarantine::markUnsaved(uint64_t content)
 {
     std::lock_guard lock(m_mutex);
     m_unsaved.insert(content);
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -1,6 +1,8 @@
-// Requests that end the endpoints which run them. Endings are counted by what
-// is asked for, as each repeat bears another id and reaches another router;
-// once enough endpoints have ended under a request, it is kept from them.
+// Quarantine for requests that crash the endpoints that run them. A crash (an
+// "ending" in names and logs) is any unplanned end of an endpoint's process,
+// also together with its VM. Crashes are counted per request content, because
+// each retry bears another request id and may reach another router. Once enough
+// endpoints have crashed under the same content, it is sent to no endpoint.
 #pragma once
 
 #include "task.h"
@@ -17,69 +19,69 @@
 namespace yucca::quarantine
 {
 
-/// The endpoints that ended under requests for one thing.
+/// The endpoints that crashed while they ran requests of one content.
 struct Record {
-    uint64_t content = 0; ///< what is asked for, and by which workspace
-    std::vector<uint64_t> endpoints; ///< hashes of the incarnations that ended; sorted
-    Clock::time_point lastAt{}; ///< of the last ending
+    uint64_t content = 0; ///< hash of the request's content and its workspace
+    std::vector<uint64_t> endpoints; ///< hashes of the endpoint incarnations that crashed (of the engine ids for orders); sorted
+    Clock::time_point lastAt{}; ///< time of the last crash
     bool operator==(const Record &) const = default;
 };
 
-/// An endpoint may have ended under a request: its answer broke, and it is not yet known why.
+/// A possible crash: an endpoint's answer to the content broke off, and the cause is not known yet.
 struct Suspicion {
     uint64_t content = 0;
-    uint64_t endpoint = 0;
+    uint64_t endpoint = 0; ///< hash of the endpoint incarnation
     Clock::time_point at{};
     bool operator==(const Suspicion &) const = default;
 };
 
-/// A request was answered whole: what ended under it before was not its doing.
+/// A complete answer to the content: it shows that the request did not cause the crashes before it.
 struct Answer {
     uint64_t content = 0;
     Clock::time_point at{};
     bool operator==(const Answer &) const = default;
 };
 
-/// What one router tells others.
+/// The updates that one router sends to others.
 struct News {
-    std::vector<Record> records; ///< those with the most endings first
+    std::vector<Record> records; ///< sorted by number of crashes, highest first
     std::vector<Suspicion> suspicions;
     std::vector<Answer> answers;
-    std::set<uint64_t> urgent = {}; ///< contents whose records and suspicions all routers need, not only those that count
+    std::set<uint64_t> urgent = {}; ///< contents whose records and suspicions go to all routers, not only to those that count single crashes
 };
 
-/// Bounds and times of a quarantine.
+/// Limits and time spans of a quarantine.
 struct QuarantineOptions {
-    /// An endpoint may end under a request by chance, and again where the
-    /// request goes on at another one; a third time is the request's doing.
+    /// Crashed endpoints from which on a content is quarantined. Two crashes
+    /// may be chance: the first one, and one more where the retry ran.
     std::size_t mostEndings = 3;
-    Millis heldFor{std::chrono::hours(1)}; ///< since the last ending: endpoints may have been mended since
-    Millis rememberedFor{std::chrono::hours(24)}; ///< within that time one more ending renews a quarantine that has run out
-    /// An ending so soon after a whole answer to the same request is not the
-    /// request's doing: where many endpoints are lost at once, they end under
-    /// what is asked for most.
-    Millis trustedFor{std::chrono::minutes(1)};
-    /// A suspicion counts like an ending for so long, in which it is known
-    /// whether the endpoint has ended: else a request that comes often would
-    /// reach several more meanwhile.
-    Millis suspectedFor{6000};
-    /// What a caller is told to wait on mere suspicion: most are settled by a
-    /// new connection to the endpoint, in a tenth of a second.
+    Millis quarantineDuration{std::chrono::hours(1)}; ///< counted from the last crash; limited because the endpoints may have been fixed since
+    Millis recordRetention{std::chrono::hours(24)}; ///< counted from the last crash; within it, one more crash renews an expired quarantine
+    /// A crash within this time after a complete answer does not count against
+    /// the content. When many endpoints fail at once, for example with their
+    /// failure domain, most of them were running the most frequent contents.
+    Millis answerGrace{std::chrono::minutes(1)};
+    /// A suspicion counts like a crash for this long, which is enough to find
+    /// out whether the endpoint has crashed. Without it, a frequent request
+    /// would reach several more endpoints in the meantime.
+    Millis suspicionTimeout{6000};
+    /// Longest wait told to a caller whose content is held on suspicion only. A new
+    /// connection to the endpoint settles most suspicions within 100 ms.
     Millis askAgainAfter{500};
-    std::size_t mostSuspected = 1024; ///< requests
-    std::size_t mostSuspicionsTold = 256; ///< waiting to be told; the oldest go first
-    std::size_t mostRecords = 4096; ///< of about 150 B; the oldest go first
-    std::size_t mostAnswers = 16384; ///< of about 70 B: what a router serves in a minute at 270 requests a second
-    std::size_t mostEndpoints = 16; ///< of one record
-    /// Endings from which on all routers and the store are told of a record. Of
-    /// a single ending all that an endpoint ran is under suspicion: that is
-    /// counted by a few routers.
+    std::size_t maxSuspectedRequests = 1024; ///< contents under suspicion
+    std::size_t maxQueuedSuspicions = 256; ///< suspicions that wait to be sent; the oldest are dropped first
+    std::size_t maxRecords = 4096; ///< about 150 B each; those with the fewest crashes are dropped first, of these the oldest
+    std::size_t maxAnswers = 16384; ///< about 70 B each; one minute's answers of a router at 270 requests/s
+    std::size_t maxEndpointsPerRecord = 16;
+    /// Crashes from which on a record goes to all routers and to the store. A
+    /// single crash implicates every request that the endpoint was running, so
+    /// only a few routers count these.
     std::size_t leastShared = 2;
-    int timesTold = 3; ///< each news: datagrams get lost
+    int sendsPerUpdate = 3; ///< times that each update is sent, because datagrams may be lost
 };
 
-/// What this router knows of such requests. Free of I/O; safe to use from
-/// several threads.
+/// One router's view of the requests that crash endpoints. Does no I/O; safe to
+/// use from several threads.
 class RequestQuarantine
 {
 public:
@@ -88,67 +90,73 @@
     {
     }
 
-    /// Until when a request must not reach endpoints, as far as is known; nothing when it may.
+    /// Returns the time until which the content must not be sent to an endpoint, or nothing when it may be sent.
     std::optional<Clock::time_point> heldUntil(uint64_t content, Clock::time_point now) const;
-    /// An answer to a request that this router had sent broke: its endpoint may have ended.
+    /// Reports that the answer to a request of this router broke off: the endpoint may have crashed.
     void broke(uint64_t content, uint64_t endpoint, Clock::time_point now);
-    /// The endpoint lives: the connection broke for another reason.
+    /// Reports that the endpoint is alive, and withdraws the suspicion against the content.
     void lives(uint64_t content, uint64_t endpoint);
-    /// An endpoint ended while it ran a request that this router had sent.
+    /// Reports that the endpoint crashed while it ran a request of this router.
     void ended(uint64_t content, uint64_t endpoint, Clock::time_point now);
-    /// A request was answered whole through this router.
+    /// Reports that a request through this router was answered completely.
     void answered(uint64_t content, Clock::time_point now);
-    /// What another router, or the store, tells.
+    /// Merges a record received from another router or read from the store. If
+    /// this router has seen a recent complete answer, it queues that answer for
+    /// the others instead.
     void told(const Record &record, Clock::time_point now);
+    /// Merges a suspicion received from another router, with the same exception.
     void told(const Suspicion &suspicion, Clock::time_point now);
+    /// Takes a complete answer reported by another router or released by an operator, and clears the content.
     void told(const Answer &answer);
 
-    /// What others are to be told in this round, no more than a number of each kind.
-    News takeNews(std::size_t most);
-    /// Some of the requests that are kept from endpoints, others with each
-    /// call: for routers that missed the news.
-    std::vector<Record> someHeld(std::size_t most, Clock::time_point now);
-    /// What the store is to be told of since the last call.
+    /// Takes the updates due in this round from the queues: at most limit of each kind, except urgent.
+    News takeNews(std::size_t limit);
+    /// Returns up to limit quarantined records, in rotation from call to call,
+    /// for routers that missed the updates.
+    std::vector<Record> someHeld(std::size_t limit, Clock::time_point now);
+    /// Returns the contents to be written to the store since the last call.
     std::vector<uint64_t> takeUnsaved();
-    /// Notes that the store could not be told; takeUnsaved() returns it again.
-    void notSaved(uint64_t content);
-    /// The store has lost what it was told lately: all is to be told again.
-    void allUnsaved();
+    /// Queues a content for takeUnsaved() again, after a failed write.
+    void markUnsaved(uint64_t content);
+    /// Queues all contents for takeUnsaved(), after the store lost recent writes.
+    void markAllUnsaved();
+    /// Returns the record of a content, or nothing when there is none.
     std::optional<Record> find(uint64_t content) const;
+    /// Returns the number of quarantined contents; suspicions alone do not count.
     std::size_t heldCount(Clock::time_point now) const;
     const QuarantineOptions &options() const
     {
         return m_options;
     }
-    /// Called from any thread when others are to be told soon.
+    /// Called, from any thread, when an update should be sent before the next round.
     std::function<void()> onNews;
 
 private:
-    bool held(const Record &record, Clock::time_point now) const;
+    bool isQuarantined(const Record &record, Clock::time_point now) const;
     std::optional<Clock::time_point> suspectedUntil(uint64_t content, Clock::time_point now) const;
     void broadcastSuspicions(uint64_t content);
-    bool urgent(uint64_t content, Clock::time_point now) const;
-    bool suspect(const Suspicion &suspicion, Clock::time_point now);
-    void forgetSuspicions(Clock::time_point now);
-    void tellSoon(bool urgentNews) const;
-    bool trusted(uint64_t content, Clock::time_point endedAt) const;
-    bool take(const Record &record, Clock::time_point now);
+    bool isUrgent(uint64_t content, Clock::time_point now) const;
+    bool addSuspicion(const Suspicion &suspicion, Clock::time_point now);
+    void pruneSuspicions(Clock::time_point now);
+    void notifyIfUrgent(bool urgentUpdate) const;
+    bool recentlyAnswered(uint64_t content, Clock::time_point endedAt) const;
+    bool acceptRecord(const Record &record, Clock::time_point now);
     std::size_t merge(const Record &record, Clock::time_point now);
-    void noteAnswer(const Answer &answer);
-    bool clear(const Answer &answer);
-    void forgetOldest();
+    void addAnswer(const Answer &answer);
+    bool clearContent(const Answer &answer);
+    void evictRecord();
 
     QuarantineOptions m_options;
     mutable std::mutex m_mutex;
     std::map<uint64_t, Record> m_records; ///< by content
-    std::map<uint64_t, std::map<uint64_t, Clock::time_point>> m_suspicions; ///< when, by content and endpoint
-    std::deque<Suspicion> m_suspicionsToTell;
-    std::set<uint64_t> m_urgent; ///< contents of m_suspicionsToTell and m_recordsToTell that all routers need
-    std::map<uint64_t, Clock::time_point> m_answers; ///< the last whole answer, by content
-    std::map<uint64_t, int> m_recordsToTell; ///< how often yet, by content
-    std::map<uint64_t, int> m_answersToTell;
-    std::set<uint64_t> m_unsaved;
-    uint64_t m_lastTold = 0; ///< by someHeld()
+    std::map<uint64_t, std::map<uint64_t, Clock::time_point>> m_suspicions; ///< time of each, by content and endpoint
+    std::deque<Suspicion> m_pendingSuspicions; ///< to be sent to other routers; the newest at the back
+    std::set<uint64_t> m_urgent; ///< contents of m_pendingSuspicions and m_pendingRecords that go to all routers
+    std::map<uint64_t, Clock::time_point> m_answers; ///< time of the last complete answer, by content
+    std::map<uint64_t, int> m_pendingRecords; ///< remaining sends, by content
+    std::map<uint64_t, int> m_pendingAnswers; ///< remaining sends, by content
+    std::set<uint64_t> m_unsaved; ///< contents to be written to the store
+    uint64_t m_repeatCursor = 0; ///< content of the last record that someHeld() returned
 };
 
 } // namespace yucca::quarantine
--- a/src/quarantine_store.h
+++ b/src/quarantine_store.h
@@ -1,5 +1,6 @@
-// The quarantine kept in the store: a router that starts, alone or with all
-// others, goes on with it, and one that no other router reaches learns of it.
+// Persists the quarantine in the store, so that a router that starts continues
+// with it, also when all routers start at once, and so that a router without
+// contact to other routers learns of it.
 #pragma once
 
 #include "object_api.h"
@@ -13,62 +14,64 @@
 namespace yucca::quarantine
 {
 
-/// The kind of the records in the store; their names are the contents, in hexadecimal.
+/// The kind of the records in the store; a record's name is its content hash in hexadecimal.
 inline constexpr const char *recordKind = "quarantine";
 
-/// An operator's word that a request is harmless, in place of its record: what
-/// ended under it so far no longer counts. Says who gave it, and why.
+/// Returns the value that an operator writes in place of a record to release a
+/// content: the crashes so far no longer count. It names the author and the reason.
 nlohmann::json releaseBy(const std::string &author, const std::string &reason);
 
-/// When the store is asked.
+/// Intervals and limits of the calls to the store.
 struct StoreOptions {
-    Millis reload{30000}; ///< news come from other routers in a second
-    Millis reloadAlone{2000}; ///< while none is heard
-    /// After the first listing: one that may lag may lack what was written just before the start.
+    Millis reload{30000}; ///< between listings; other routers send updates within a second
+    Millis reloadAlone{2000}; ///< between listings while no other router is heard
+    /// Before the second listing: the first may be served by a lagging replica and miss what was written just before the start.
     Millis reloadSoon{5000};
-    Millis again{1000}; ///< after a call that failed
-    Millis poll{100}; ///< for what is to be saved; costs no call
-    int mostTries = 3; ///< of one record, where other routers write it too
+    Millis retryDelay{1000}; ///< after a failed call
+    Millis savePollInterval{100}; ///< between checks for unsaved records; a check makes no call
+    int maxSaveAttempts = 3; ///< for one record that other routers write at the same time
 };
 
 /// Reads and writes the records; runs on one event loop.
 class QuarantineStore
 {
 public:
-    /// alone tells whether no other router is heard; isSweeper whether this
-    /// router is to remove old records: one is enough.
-    QuarantineStore(platform::ObjectApi &api, RequestQuarantine &quarantine, std::function<bool()> alone, std::function<bool()> isSweeper,
+    /// isAlone returns true while no other router is heard. isSweeper returns
+    /// true when this router removes expired records; one router does.
+    QuarantineStore(platform::ObjectApi &api, RequestQuarantine &quarantine, std::function<bool()> isAlone, std::function<bool()> isSweeper,
                     StoreOptions options = {});
 
-    /// Loads now and then, and saves what is new, until stopped.
+    /// Loads the records periodically and saves changed ones, until stop() is called.
     Task<void> run();
+    /// Asks run() to return; from its thread.
     void stop()
     {
         m_stopping = true;
     }
-    /// One listing; false when the store could not be reached.
+    /// Lists the records once and merges them. Returns false when the store could not be reached.
     Task<bool> load();
-    /// Brings the store up to date on one content; false when it is to be tried again.
+    /// Merges the stored record of a content with this router's and writes the
+    /// result. Returns false when the call failed and must be retried.
     Task<bool> save(uint64_t content);
 
 private:
     void noteEpoch();
     Task<void> saveAll();
-    Task<void> take(platform::Object object);
-    Task<int> write(std::string name, std::optional<Record> record, uint64_t heldVersion);
+    Task<void> applyEntry(platform::Object object);
+    Task<int> writeRecord(std::string name, std::optional<Record> record, uint64_t storedVersion);
     Millis interval() const;
-    void complain(const std::string &name);
+    void logUnreadable(const std::string &name);
 
     platform::ObjectApi &m_api;
     RequestQuarantine &m_quarantine;
-    std::function<bool()> m_alone;
+    std::function<bool()> m_isAlone;
     std::function<bool()> m_isSweeper;
     StoreOptions m_options;
-    std::set<std::string> m_complainedOf; ///< entries that could not be read
-    int m_loads = 0;
+    std::set<std::string> m_loggedUnreadable; ///< names of unreadable entries that were logged
+    int m_loadCount = 0;
     store::Epoch m_epoch = 0;
-    bool m_reached = false; ///< by the last call
-    Clock::time_point m_triedAt{};
+    bool m_storeReachable = false; ///< as of the last call
+    Clock::time_point m_lastCallAt{}; ///< of the last listing or save, also a failed one
     bool m_stopping = false;
 };
 
--- a/src/router_control.cpp
+++ b/src/router_control.cpp
@@ -9,11 +9,11 @@
 namespace
 {
 
-/// A change is in force within seconds of the platform's return. Nothing tells
-/// sooner of it here: the calls are not priced, so followers ask for themselves.
-constexpr Millis longestRetryPause{2000};
+/// Limits the time from the platform's recovery to the next call: a change must be
+/// in effect within seconds. Calls are free here, so that each follower retries by itself.
+constexpr Millis maxRetryDelay{2000};
 
-/// Operators and endpoints write again what the store lost within about two seconds of its return.
+/// After a restore of the store, operators and endpoints rewrite what it lost within about 2 s.
 constexpr Millis restorePause{5000};
 
 void logRejected(const std::string &entry, const Findings &findings)
@@ -33,10 +33,10 @@
 {
     FollowerOptions options;
     options.watchWait = Millis(settings.watchTimeoutMs);
-    options.longestPause = longestRetryPause;
-    // This store's calls have no price, and a router that has just started is
-    // to know all endpoints at once: with a pause an outage that followed left
-    // it without those that joined 1 ms after the first.
+    options.longestPause = maxRetryDelay;
+    // No pause between a change and the next watch, as calls to this store are
+    // free. With a pause, a router that has just started missed the endpoints that
+    // joined right after the first one when an outage of the store followed.
     options.afterNews = Millis(0);
     options.restorePause = restorePause;
     for (const auto &kind : kinds()) {
@@ -72,8 +72,8 @@
 {
     bool reached = true;
     for (const auto &followed : m_followed) {
-        const bool one = co_await followed->follower.step();
-        reached = reached && one;
+        const bool kindReached = co_await followed->follower.step();
+        reached = reached && kindReached;
     }
     co_return reached;
 }
@@ -92,7 +92,7 @@
 
 void Control::Sink::restored()
 {
-    control.m_view.forgetVersions(kind);
+    control.m_view.resetVersions(kind);
 }
 
 void Control::Sink::changed(const platform::Object &object, bool deleted)
@@ -108,8 +108,8 @@
     }
 }
 
-// Puts the view in force: the endpoints in the routing table, the rest for
-// the traffic threads to read.
+// Puts the view into effect: the endpoints in the routing table, the rest in the
+// state that traffic threads read.
 void Control::publish()
 {
     auto snapshot = m_view.publish();
--- a/src/router_control.h
+++ b/src/router_control.h
@@ -1,5 +1,5 @@
-// The router's control side: keeps the catalogue and the endpoint set up
-// to date by watching the platform's object API, on a thread of its own.
+// The router's control plane: keeps the catalogue and the endpoint set up to date
+// by watching the platform's object API, on a thread of its own.
 #pragma once
 
 #include "catalogue.h"
@@ -16,40 +16,41 @@
 namespace yucca::router
 {
 
-/// Owns the control state of one router. Only its event loop writes it;
-/// traffic threads read the published snapshot.
+/// Owns the control state of one router. Only the control thread's event loop
+/// writes it; traffic threads read the published snapshot.
 class Control
 {
 public:
     Control(const settings::RouterSettings &settings, platform::ObjectApi &api, RoutingTable &table);
 
-    /// The kinds of objects that are followed.
+    /// The object kinds that are followed.
     static const std::vector<std::string> &kinds();
-    /// Follows the n-th of kinds() until stopped.
+    /// Follows the n-th of kinds() until stop() is called.
     Task<void> run(std::size_t n);
     /// Asks run() to return; from the control thread.
     void stop();
-    /// One listing or one watch of each kind. False when the platform could not be reached.
+    /// Makes one listing or one watch call for each kind. Returns false when the platform could not be reached for one of them.
     Task<bool> step();
 
-    /// True once the catalogue is loaded and an endpoint is known.
+    /// True once every kind has been listed and at least one endpoint is known.
     bool ready() const
     {
         return m_ready.load();
     }
+    /// Returns the last published snapshot; from any thread.
     std::shared_ptr<const catalogue::Snapshot> snapshot() const;
-    /// The same as the request pipeline reads it.
+    /// The same state in the form that the request pipeline reads.
     const entry::Published &published() const
     {
         return m_published;
     }
 
 private:
-    /// Takes the news of one kind.
+    /// Applies what the follower of one kind reports.
     struct Sink {
         Control &control;
         std::string kind;
-        bool dirty = false;
+        bool dirty = false; ///< changes were applied that are not published yet
         void listed(const platform::Listing &listing, platform::Freshness freshness);
         void listedSoFar(const platform::Listing &)
         {
--- a/src/supervisor.cpp
+++ b/src/supervisor.cpp
@@ -7,9 +7,9 @@
 
 namespace
 {
-constexpr Millis firstPause{50};
-constexpr Millis longestPause{5000};
-constexpr int mostDoublings = 10;
+constexpr Millis initialRestartDelay{50};
+constexpr Millis maxRestartDelay{5000};
+constexpr int maxDoublings = 10;
 } // namespace
 
 Supervisor::Supervisor(asio::io_context &loop, OnFailure onFailure)
@@ -20,10 +20,10 @@
 
 void Supervisor::start(Child child)
 {
-    auto kept = std::make_shared<Child>(std::move(child));
-    m_children.push_back(kept);
+    auto shared = std::make_shared<Child>(std::move(child));
+    m_children.push_back(shared);
     ++m_running;
-    asio::co_spawn(m_loop, supervise(kept), [this](std::exception_ptr) {
+    asio::co_spawn(m_loop, supervise(shared), [this](std::exception_ptr) {
         --m_running;
     });
 }
@@ -38,7 +38,7 @@
     }
 }
 
-// Runs one child until it returns; after a failure, again.
+// Runs one child until it returns, and restarts it after each failure.
 Task<void> Supervisor::supervise(std::shared_ptr<Child> child)
 {
     for (int failures = 0; !m_stopping;) {
@@ -53,8 +53,8 @@
         if (m_onFailure) {
             m_onFailure(child->name, error, failures);
         }
-        const Millis pause = std::min(firstPause * (1 << std::min(failures - 1, mostDoublings)), longestPause);
-        co_await sleepFor(pause);
+        const Millis delay = std::min(initialRestartDelay * (1 << std::min(failures - 1, maxDoublings)), maxRestartDelay);
+        co_await sleepFor(delay);
     }
 }
 
--- a/src/supervisor.h
+++ b/src/supervisor.h
@@ -1,6 +1,5 @@
-// A supervisor tree within a process: named children that run as
-// coroutines, are started again with growing pauses when they fail, and
-// are told to stop in the reverse of their starting order.
+// A supervisor within a process. It runs named children as coroutines, restarts
+// failed ones with exponential backoff, and stops them in reverse order of start.
 #pragma once
 
 #include "task.h"
@@ -14,8 +13,8 @@
 namespace yucca
 {
 
-/// Runs children on one event loop. A child is a coroutine that returns
-/// when its work is over or it was told to stop, and throws when it failed.
+/// Runs children on one event loop. A child is a coroutine that returns when its
+/// work is done or it was asked to stop, and throws on failure.
 class Supervisor
 {
 public:
@@ -24,16 +23,16 @@
         std::function<Task<void>()> run;
         std::function<void()> stop; ///< asks the child to return; may be empty
     };
-    /// Called with a failed child's name, the error, and how often it failed.
+    /// Called with the name of a failed child, the exception's text and the number of its failures so far.
     using OnFailure = std::function<void(const std::string &child, const std::string &error, int failures)>;
 
     Supervisor(asio::io_context &loop, OnFailure onFailure);
 
-    /// Starts a child; it joins the end of the stopping order.
+    /// Starts a child.
     void start(Child child);
-    /// Tells every child to stop, the last started first. From the loop's thread.
+    /// Asks every child to stop, the last started first. From the loop's thread.
     void stop();
-    /// The number of children still running.
+    /// Returns the number of children that have not returned.
     std::size_t running() const
     {
         return m_running;
--- a/tests/test_catalogue.cpp
+++ b/tests/test_catalogue.cpp
@@ -1,5 +1,5 @@
-// The catalogue a router holds: checked entries, and a view that never
-// moves back through late, repeated or re-listed changes.
+// The catalogue of a router: validation of entries, a view that late, repeated or
+// re-listed changes never move back to an older version, and the audit records of changes.
 #include "catalogue.h"
 #include "ctl.h"
 #include "local_object_api.h"
@@ -19,7 +19,7 @@
 
 TEST_GROUP(InvariantCatalogue){};
 
-TEST(InvariantCatalogue, ALateOlderEventNeverRevertsAnAcceptedChange)
+TEST(InvariantCatalogue, OlderEventThatArrivesLateIsIgnored)
 {
     catalogue::View v;
     CHECK(v.apply(object("ws-0", 5, "new"), false));
@@ -27,7 +27,7 @@
     STRCMP_EQUAL("new", v.state().workspace("ws-0")->owner.c_str());
 }
 
-TEST(InvariantCatalogue, ADeletionIsNotUndoneByAnOlderWrite)
+TEST(InvariantCatalogue, OlderWriteDoesNotUndoADeletion)
 {
     catalogue::View v;
     v.apply(object("ws-0", 4, "a"), false);
@@ -36,21 +36,21 @@
     CHECK_FALSE((v.state().workspace("ws-0") != nullptr));
 }
 
-TEST(InvariantCatalogue, AListingAfterAWatchGapDropsWhatWasDeletedAndKeepsNewer)
+TEST(InvariantCatalogue, ListingAfterAWatchGapDropsDeletedEntriesAndUpdatesTheOthers)
 {
     catalogue::View v;
     v.apply(object("ws-0", 2, "a"), false);
     v.apply(object("ws-1", 3, "a"), false);
     store::Listing l;
     l.revision = 10;
-    l.items.push_back(object("ws-1", 9, "b")); // ws-0 was deleted in the gap
+    l.items.push_back(object("ws-1", 9, "b")); // ws-0 was deleted during the gap
     v.applyListing(catalogue::workspaceKind, l);
     CHECK_FALSE((v.state().workspace("ws-0") != nullptr));
     STRCMP_EQUAL("b", v.state().workspace("ws-1")->owner.c_str());
     LONGS_EQUAL(10, v.state().revision);
 }
 
-TEST(InvariantCatalogue, ABadEntryIsRejectedWithEveryProblem)
+TEST(InvariantCatalogue, InvalidEntryIsReportedWithEveryProblem)
 {
     Findings f;
     catalogue::parseWorkspace(nlohmann::json{{"class", 3}, {"limits", {{"maxInflight", -1}}}, {"colour", "red"}}, "/0/value", f);
@@ -62,12 +62,12 @@
     store::ObjectStore s;
     auto v = std::get<store::Object>(s.put(catalogue::workspaceKind, "ws-0", {{"owner", "a"}}, 0)).version;
     CHECK(ok(s.put(catalogue::workspaceKind, "ws-0", {{"owner", "alice"}}, v)));
-    auto bob = s.put(catalogue::workspaceKind, "ws-0", {{"owner", "bob"}}, v); // read the same version
+    auto bob = s.put(catalogue::workspaceKind, "ws-0", {{"owner", "bob"}}, v); // based on the same version as alice's write
     LONGS_EQUAL(store::Conflict, std::get<Error>(bob).code);
     STRCMP_EQUAL("alice", std::get<store::Object>(s.get(catalogue::workspaceKind, "ws-0")).value["owner"].get<std::string>().c_str());
 }
 
-TEST(InvariantCatalogue, AnEntryThatDoesNotParseLeavesTheLastGoodOneInForce)
+TEST(InvariantCatalogue, InvalidEntryLeavesTheLastValidOneInEffect)
 {
     int rejected = 0;
     catalogue::View v([&](const std::string &entry, const Findings &) {
@@ -104,11 +104,11 @@
     }
 };
 
-TEST(InvariantCatalogueRouter, AnOutageKeepsTheCatalogueAndTheFirstRoundAfterItBringsTheChange)
+TEST(InvariantCatalogueRouter, OutageKeepsTheCatalogueAndTheNextStepAppliesTheChange)
 {
     put("before");
     CHECK(step());
-    put("during"); // accepted, then the store goes down before the router hears
+    put("during"); // the store accepts the change and fails before the router reads it
     api.outage = true;
     for (int i = 0; i < 5; ++i) {
         CHECK_FALSE(step());
@@ -119,22 +119,22 @@
     STRCMP_EQUAL("during", owner().c_str());
 }
 
-TEST(InvariantCatalogueRouter, AGapInTheWatchIsClosedByAListing)
+TEST(InvariantCatalogueRouter, WatchGapIsClosedByAListing)
 {
     put("before");
     CHECK(step());
     for (int i = 0; i < 20; ++i) {
-        store.put("idem", "r" + std::to_string(i), 1, std::nullopt); // pushes the change out of the history
+        store.put("idem", "r" + std::to_string(i), 1, std::nullopt); // pushes the change out of the watch history
         if (i == 5) {
             put("in the gap");
         }
     }
-    CHECK(step()); // Gone
-    CHECK(step()); // lists
+    CHECK(step()); // the watch fails with Gone
+    CHECK(step()); // the follower lists
     STRCMP_EQUAL("in the gap", owner().c_str());
 }
 
-TEST(InvariantCatalogueRouter, ARestartedRouterStartsFromWhatIsInForce)
+TEST(InvariantCatalogueRouter, StartingRouterLoadsTheCurrentEntries)
 {
     put("old");
     put("new");
@@ -142,7 +142,7 @@
     STRCMP_EQUAL("new", owner().c_str());
 }
 
-TEST(InvariantCatalogueRouter, AManyPagedCatalogueIsListedWhole)
+TEST(InvariantCatalogueRouter, CatalogueOfSeveralPagesIsListedCompletely)
 {
     for (int i = 0; i < 1201; ++i) {
         store.put(catalogue::workspaceKind, "w" + std::to_string(i), {{"owner", "o"}, {"class", "c"}}, std::nullopt);
@@ -172,15 +172,15 @@
     }
 };
 
-TEST(AuditTrail, EveryAcceptedChangeHasItsRecordAlsoWhenTheWritesAnswerIsLost)
+TEST(AuditTrail, AcceptedChangeHasAnAuditRecordAlsoAfterLostAnswers)
 {
     CHECK(change("a").result == ctl::ChangeResult::Applied);
-    api.loseAnswers = 2; // of the audit record and of the change itself
+    api.loseAnswers = 2; // the answers to the audit record's write and to the change itself
     CHECK(change("b").result == ctl::ChangeResult::Applied);
     CHECK((outcomes() == std::vector<std::string>{"accepted", "accepted"}));
 }
 
-TEST(AuditTrail, ALostRaceWritesNothingAndSaysSo)
+TEST(AuditTrail, LostRaceWritesNothingAndIsReported)
 {
     const auto version = change("a").version;
     change("b");
@@ -189,10 +189,10 @@
     STRCMP_EQUAL("b", std::get<store::Object>(store.get(catalogue::workspaceKind, "ws-0")).value["owner"].get<std::string>().c_str());
 }
 
-TEST(AuditTrail, AChangeWhoseAuthorDiedAfterTheWriteIsStillAccepted)
+TEST(AuditTrail, ChangeCountsAsAcceptedWhenTheProgramDiedAfterTheWrite)
 {
     change("a");
-    // What the program leaves when it dies between the write and the note.
+    // The state that the program leaves when it dies between the change and the update of the audit record.
     auto listed = store.list(catalogue::auditKind);
     auto record = listed.items[0];
     record.value["outcome"] = "proposed";
@@ -200,7 +200,7 @@
     CHECK((outcomes() == std::vector<std::string>{"accepted"}));
 }
 
-TEST(AuditTrail, WithoutAnAuditRecordThereIsNoChange)
+TEST(AuditTrail, ChangeFailsWhenNoAuditRecordCanBeWritten)
 {
     change("a");
     api.outage = true;
--- a/tests/test_findings.cpp
+++ b/tests/test_findings.cpp
@@ -1,4 +1,4 @@
-// Settings are checked whole: every problem is reported with its JSON path.
+// Validation of settings: every problem of a document is reported with its JSON path.
 #include "settings.h"
 
 #include <CppUTest/TestHarness.h>
@@ -29,7 +29,7 @@
     CHECK(report.find("/polcy: unknown key") != std::string::npos);
 }
 
-TEST(Settings, GoodSettingsGiveNoFindingsAndTheirValues)
+TEST(Settings, ValidSettingsGiveTheirValuesAndNoFindings)
 {
     Findings f;
     auto s = settings::parseEngine(settings::parseText(R"({"slots": 4, "kind": "service", "checkFencing": false})", f), f);
--- a/tests/test_idempotency.cpp
+++ b/tests/test_idempotency.cpp
@@ -1,5 +1,5 @@
-// At most once: the claim protocol of idempotency::Guard against the
-// object API fake, under retries, crashes, lost answers, outages and races.
+// At-most-once execution: the claim protocol of idempotency::Guard on a fake
+// object API, under retries, crashes, lost answers, outages, races and restores.
 #include "idempotency.h"
 #include "local_object_api.h"
 
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// The plain service: counts how often each call really ran.
+/// A service that counts the calls that ran.
 struct Service {
     int runs = 0;
 };
@@ -26,7 +26,7 @@
     return ok(runBlocking(g.settle(c, idempotency::Guard::released(c))));
 }
 
-/// One attempt as a router makes it: claim, run when allowed, store the answer.
+/// One attempt of a router: claims the key, runs the call when granted, stores the answer.
 Decision attempt(idempotency::Guard &g, Service &svc, const std::string &key, uint64_t body = 11, bool crashAfterRun = false)
 {
     auto c = runBlocking(g.claim("ws-0", key, body));
@@ -48,7 +48,7 @@
     Service svc;
 };
 
-TEST(InvariantAtMostOnce, ACallerRetryGetsTheStoredAnswer)
+TEST(InvariantAtMostOnce, CallerRetryGetsTheStoredAnswer)
 {
     idempotency::Guard g(api, "router-1");
     CHECK(attempt(g, svc, "k") == Decision::Run);
@@ -62,23 +62,23 @@
 {
     idempotency::Guard a(api, "router-1"), b(api, "router-2");
     auto ca = runBlocking(a.claim("ws-0", "k", 11));
-    auto cb = runBlocking(b.claim("ws-0", "k", 11)); // before a has an answer
+    auto cb = runBlocking(b.claim("ws-0", "k", 11)); // before a has stored an answer
     CHECK(ca.decision == Decision::Run);
     CHECK(cb.decision == Decision::InProgress);
     LONGS_EQUAL(0, svc.runs + (cb.decision == Decision::Run ? 1 : 0));
 }
 
-TEST(InvariantAtMostOnce, ARouterCrashAfterTheCallNeverLetsARetryRunItAgain)
+TEST(InvariantAtMostOnce, RetryAfterARouterCrashDoesNotRunTheCallAgain)
 {
     idempotency::Guard a(api, "router-1"), b(api, "router-2");
-    attempt(a, svc, "k", 11, true); // ran, then the router died before storing the answer
+    attempt(a, svc, "k", 11, true); // the call ran; the router crashed before it stored the answer
     for (int i = 0; i < 3; ++i) {
         CHECK(attempt(b, svc, "k") == Decision::InProgress);
     }
     LONGS_EQUAL(1, svc.runs);
 }
 
-TEST(InvariantAtMostOnce, ALostAnswerAfterTheClaimTookEffectIsRecognisedAsOurOwn)
+TEST(InvariantAtMostOnce, ClaimWithALostAnswerIsRecognisedAsOwn)
 {
     idempotency::Guard g(api, "router-1");
     api.loseAnswers = 1;
@@ -87,7 +87,7 @@
     LONGS_EQUAL(1, svc.runs);
 }
 
-TEST(InvariantAtMostOnce, ALostAnswerWhenStoringTheResultStillEndsDone)
+TEST(InvariantAtMostOnce, LostAnswerWhileStoringTheResultStillSettlesTheRecord)
 {
     idempotency::Guard g(api, "router-1");
     auto c = runBlocking(g.claim("ws-0", "k", 11));
@@ -96,27 +96,27 @@
     CHECK(runBlocking(g.claim("ws-0", "k", 11)).decision == Decision::Replay);
 }
 
-TEST(InvariantAtMostOnce, AStoreOutageMeansNotRunAndTheCallIsNotSent)
+TEST(InvariantAtMostOnce, StoreOutageReportsNotRunAndTheCallIsNotSent)
 {
     idempotency::Guard g(api, "router-1");
     api.outage = true;
     CHECK(attempt(g, svc, "k") == Decision::NotRun);
     LONGS_EQUAL(0, svc.runs);
     api.outage = false;
-    CHECK(attempt(g, svc, "k") == Decision::Run); // told not run, so it may run now
+    CHECK(attempt(g, svc, "k") == Decision::Run); // the caller was told that the call did not run, so it may run now
     LONGS_EQUAL(1, svc.runs);
 }
 
-TEST(InvariantAtMostOnce, AReleasedClaimMayRunOnRetry)
+TEST(InvariantAtMostOnce, ReleasedClaimRunsOnRetry)
 {
     idempotency::Guard g(api, "router-1");
     auto c = runBlocking(g.claim("ws-0", "k", 11));
-    CHECK(release(g, c)); // the service could not be reached: certainly not run
+    CHECK(release(g, c)); // the service was unreachable, so the call certainly did not run
     CHECK(attempt(g, svc, "k") == Decision::Run);
     LONGS_EQUAL(1, svc.runs);
 }
 
-TEST(InvariantAtMostOnce, AKeyReusedForAnotherRequestIsRefused)
+TEST(InvariantAtMostOnce, KeyReusedForAnotherRequestIsRejected)
 {
     idempotency::Guard g(api, "router-1");
     attempt(g, svc, "k", 11);
@@ -124,16 +124,16 @@
     LONGS_EQUAL(1, svc.runs);
 }
 
-TEST(InvariantAtMostOnce, FaultsTogetherAndTwiceStillRunEachKeyAtMostOnce)
+TEST(InvariantAtMostOnce, CombinedFaultsRunEachKeyAtMostOnce)
 {
     idempotency::Guard a(api, "router-1"), b(api, "router-2");
     std::map<std::string, int> runs;
     for (int k = 0; k < 200; ++k) {
         std::string key = "k" + std::to_string(k);
-        api.loseAnswers = k % 3; // lost answers, sometimes two in a row
+        api.loseAnswers = k % 3; // up to two lost answers in a row
         api.outage = (k % 7 == 0);
         Service s;
-        attempt(a, s, key, 1, k % 5 == 0); // crash after the call now and then
+        attempt(a, s, key, 1, k % 5 == 0); // every fifth attempt crashes after the call
         api.outage = false;
         attempt(b, s, key, 1);
         attempt(a, s, key, 1);
@@ -144,16 +144,16 @@
     }
 }
 
-TEST(InvariantAtMostOnce, ARestartedRouterOfTheSameIdDoesNotTakeItsOldClaimForItsOwn)
+TEST(InvariantAtMostOnce, RestartedRouterDoesNotMistakeItsOldClaimForItsOwn)
 {
     idempotency::Guard before(api, "router-1");
-    attempt(before, svc, "k", 11, true); // ran, then the router died before storing the answer
-    idempotency::Guard restarted(api, "router-1"); // replaced under the same id
+    attempt(before, svc, "k", 11, true); // the call ran; the router crashed before it stored the answer
+    idempotency::Guard restarted(api, "router-1"); // a new process with the same router id
     CHECK(attempt(restarted, svc, "k") == Decision::InProgress);
     LONGS_EQUAL(1, svc.runs);
 }
 
-TEST(InvariantAtMostOnce, AKeyWhoseRecordTheStoreLostDoesNotRunAgain)
+TEST(InvariantAtMostOnce, KeyWithARecordLostInARestoreDoesNotRunAgain)
 {
     idempotency::Guard first(api, "router-1");
     idempotency::Guard second(api, "router-2");
@@ -161,24 +161,24 @@
     CHECK(attempt(first, svc, "k") == Decision::Run);
     store.restore(copy);
     CHECK(attempt(second, svc, "k") == Decision::NotRun);
-    runBlocking(first.restoreLost()); // the router that ran it has seen the return
+    runBlocking(first.restoreLost()); // the router that ran the call rewrites its record
     CHECK(attempt(second, svc, "k") != Decision::Run);
     LONGS_EQUAL(1, svc.runs);
     CHECK(store.get(idempotency::recordKind, idempotency::Guard::recordName("ws-0", "k")).index() == 0);
 }
 
-TEST(InvariantAtMostOnce, ACallThatRunsWhileTheStoreLosesItsClaimIsSettledAndReplayed)
+TEST(InvariantAtMostOnce, CallWhoseClaimIsLostInARestoreIsSettledAndReplayed)
 {
     idempotency::Guard g(api, "router-1");
     const auto copy = store.copy();
     const auto claim = runBlocking(g.claim("ws-0", "k", 11));
     store.restore(copy);
     CHECK(complete(g, claim, "done"));
-    idempotency::Guard other(api, "router-2", idempotency::recordKind, {.claimsAfterRestore = Millis(0)});
+    idempotency::Guard other(api, "router-2", idempotency::recordKind, {.claimPauseAfterRestore = Millis(0)});
     CHECK(runBlocking(other.claim("ws-0", "k", 11)).decision == Decision::Replay);
 }
 
-TEST(InvariantAtMostOnce, AClaimThatIsTheFirstCallAfterAReturnIsLetGo)
+TEST(InvariantAtMostOnce, ClaimThatRevealsARestoreIsReleased)
 {
     idempotency::Guard g(api, "router-1");
     CHECK(attempt(g, svc, "before") == Decision::Run);
@@ -187,7 +187,7 @@
     LONGS_EQUAL(1, svc.runs);
 }
 
-TEST(InvariantAtMostOnce, RecordsAreWrittenAgainAfterEachOfTwoReturnsInARow)
+TEST(InvariantAtMostOnce, RecordsAreRewrittenAfterEachOfTwoRestores)
 {
     idempotency::Guard g(api, "router-1");
     const auto copy = store.copy();
--- a/tests/test_lease.cpp
+++ b/tests/test_lease.cpp
@@ -1,5 +1,5 @@
-// Leases and orders under pauses, lapses, races and lost answers, with the
-// clock in the test's hand.
+// Leases and orders under pauses, expiry, races, lost answers and restores of
+// the store, with a simulated clock.
 #include "engine_core.h"
 #include "lease.h"
 #include "local_object_api.h"
@@ -16,9 +16,9 @@
 namespace
 {
 
-constexpr Millis term{10000};
+constexpr Millis leaseDuration{10000};
 
-/// An engine that checks the fencing number of its orders, or ignores it.
+/// An engine that either checks or ignores the fencing token of its orders.
 struct FakeEngine {
     explicit FakeEngine(bool checks)
         : gate(checks)
@@ -43,24 +43,24 @@
     lease::BootClock clock = [this] {
         return now;
     };
-    lease::Lease a{api, "duties", "a", term, clock};
-    lease::Lease b{api, "duties", "b", term, clock};
+    lease::Lease a{api, "duties", "a", leaseDuration, clock};
+    lease::Lease b{api, "duties", "b", leaseDuration, clock};
 
     bool acquire(lease::Lease & l)
     {
         return runBlocking(l.acquireOrRenew());
     }
-    // Lets b take over from a holder that no longer renews.
-    void lapse()
+    // Expires the lease of a, which does not renew it, and lets b acquire it.
+    void expireAndTakeOver()
     {
-        CHECK_FALSE(acquire(b)); // sees a's record
-        now += term;
+        CHECK_FALSE(acquire(b)); // b sees the record of a
+        now += leaseDuration;
         CHECK(acquire(b));
     }
-    OrderResult carryOut(lease::Lease & l, const char *holder, const orders::Sender &sender)
+    OrderResult dispatch(lease::Lease & l, const char *holder, const orders::Sender &sender)
     {
-        orders::Desk desk(api, l, holder, sender, quarantine);
-        return runBlocking(desk.carryOut({"engine-1", "load_model", "counsel-v2", "load.1"}));
+        orders::Dispatcher dispatcher(api, l, holder, sender, quarantine);
+        return runBlocking(dispatcher.dispatch({"engine-1", "load_model", "counsel-v2", "load.1"}));
     }
     static orders::Sender senderTo(FakeEngine & engine)
     {
@@ -70,40 +70,40 @@
     }
 };
 
-TEST(FencingLease, OneHolderAtATimeAndAHigherNumberForEachNext)
+TEST(FencingLease, OneHolderAtATimeAndAHigherTokenForEachNext)
 {
     CHECK(acquire(a));
     LONGS_EQUAL(1, a.fence());
     CHECK_FALSE(acquire(b));
-    now += term / 2;
-    CHECK(acquire(a)); // renewed: b must wait for a whole term again
-    now += term / 2 + Millis(1);
+    now += leaseDuration / 2;
+    CHECK(acquire(a)); // renewed: b must wait for a whole duration again
+    now += leaseDuration / 2 + Millis(1);
     CHECK_FALSE(acquire(b));
-    now += term;
+    now += leaseDuration;
     CHECK(acquire(b));
     LONGS_EQUAL(2, b.fence());
     CHECK_FALSE(a.held());
 }
 
-TEST(FencingLease, APausedHolderKnowsOnWakingThatItsTimeIsOver)
+TEST(FencingLease, ResumedHolderSeesThatItsLeaseHasExpired)
 {
     CHECK(acquire(a));
-    lapse();
-    CHECK_FALSE(a.held()); // by its own clock, before it hears of b
+    expireAndTakeOver();
+    CHECK_FALSE(a.held()); // by its own clock, without a call to the store
     CHECK(b.held());
 }
 
-TEST(FencingLease, AHolderStopsBeforeAnotherMayStart)
+TEST(FencingLease, HolderStopsBeforeAnotherMayAcquire)
 {
     CHECK(acquire(a));
     CHECK_FALSE(acquire(b));
     for (; a.held(); now += Millis(100)) {
         CHECK_FALSE(acquire(b));
     }
-    CHECK_FALSE(acquire(b)); // the margin between the two
+    CHECK_FALSE(acquire(b)); // the safety margin
 }
 
-TEST(FencingLease, ALostAnswerOfTheAcquisitionIsRecognised)
+TEST(FencingLease, LostAnswerToTheAcquisitionIsResolvedByReadingBack)
 {
     api.loseAnswers = 1;
     CHECK(acquire(a));
@@ -111,17 +111,17 @@
     CHECK_FALSE(acquire(b));
 }
 
-TEST(FencingLease, AStoreOutageEndsTheLeaseWithItsTerm)
+TEST(FencingLease, StoreOutageLetsTheLeaseExpire)
 {
     CHECK(acquire(a));
     api.outage = true;
-    now += term / 2;
-    CHECK(acquire(a)); // could not renew, but the term still runs
-    now += term / 2;
+    now += leaseDuration / 2;
+    CHECK(acquire(a)); // the renewal failed, but the lease has not expired
+    now += leaseDuration / 2;
     CHECK_FALSE(acquire(a));
 }
 
-TEST(FencingLease, AReleasedLeaseIsFreeAtOnceAndNumbersGoOn)
+TEST(FencingLease, ReleasedLeaseIsFreeAtOnceAndTokensKeepRising)
 {
     CHECK(acquire(a));
     runBlocking(a.release());
@@ -129,81 +129,81 @@
     LONGS_EQUAL(2, b.fence());
 }
 
-TEST(FencingLease, AnOrderActsOnceThoughTwoHoldersSendIt)
+TEST(FencingLease, OrderOfTwoSuccessiveHoldersIsAppliedOnce)
 {
     for (const bool checks : {true, false}) {
         store::ObjectStore fresh;
         store = fresh;
         FakeEngine engine(checks);
-        lease::Lease first{api, "duties", "first", term, clock};
-        lease::Lease second{api, "duties", "second", term, clock};
+        lease::Lease first{api, "duties", "first", leaseDuration, clock};
+        lease::Lease second{api, "duties", "second", leaseDuration, clock};
         CHECK(acquire(first));
-        CHECK(carryOut(first, "first", senderTo(engine)) == OrderResult::Applied);
+        CHECK(dispatch(first, "first", senderTo(engine)) == OrderResult::Applied);
         runBlocking(first.release());
         CHECK(acquire(second));
-        CHECK(carryOut(second, "second", senderTo(engine)) == OrderResult::Applied); // known from the record
+        CHECK(dispatch(second, "second", senderTo(engine)) == OrderResult::Applied); // replayed from the record
         LONGS_EQUAL(1, engine.gate.applied().size());
     }
 }
 
-TEST(FencingLease, AHolderPausedBetweenClaimAndSendDoesNotSend)
+TEST(FencingLease, HolderPausedBetweenClaimAndSendDoesNotSend)
 {
-    FakeEngine engine(false); // ignores the number: only the holder's own care helps
+    FakeEngine engine(false); // ignores the token, so only the holder's own check prevents the order
     CHECK(acquire(a));
     CHECK_FALSE(acquire(b));
-    // The claim's write takes so long that the lease lapses and b takes it.
+    // The claim's write takes so long that the lease expires.
     struct PausingApi : platform::LocalObjectApi {
         using LocalObjectApi::LocalObjectApi;
         Task<Result<platform::Object>> put(std::string kind, std::string name, nlohmann::json value, std::optional<uint64_t> ifVersion) override
         {
             auto written = co_await LocalObjectApi::put(kind, name, value, ifVersion);
             if (kind == orders::recordKind) {
-                *pausedNow += term;
+                *testClock += leaseDuration;
             }
             co_return std::move(written);
         }
-        lease::BootTime *pausedNow = nullptr;
+        lease::BootTime *testClock = nullptr;
     };
     PausingApi pausing(store);
-    pausing.pausedNow = &now;
-    orders::Desk desk(pausing, a, "a", senderTo(engine), quarantine);
-    CHECK(runBlocking(desk.carryOut({"engine-1", "load_model", "counsel-v2", "load.1"})) == OrderResult::NotHolder);
+    pausing.testClock = &now;
+    orders::Dispatcher dispatcher(pausing, a, "a", senderTo(engine), quarantine);
+    CHECK(runBlocking(dispatcher.dispatch({"engine-1", "load_model", "counsel-v2", "load.1"})) == OrderResult::NotHolder);
     LONGS_EQUAL(0, engine.gate.applied().size());
     CHECK(acquire(b));
-    CHECK(carryOut(b, "b", senderTo(engine)) == OrderResult::Applied); // the claim was given back
+    CHECK(dispatch(b, "b", senderTo(engine)) == OrderResult::Applied); // the claim was released
     LONGS_EQUAL(1, engine.gate.applied().size());
 }
 
-TEST(FencingLease, AHolderPausedWhileSendingLeavesTheOrderToNobodyElse)
+TEST(FencingLease, OrderOfAHolderPausedWhileSendingIsNotSentByTheNext)
 {
     FakeEngine engine(false);
     CHECK(acquire(a));
     CHECK_FALSE(acquire(b));
-    // a is frozen with the order on the wire; b takes over and wants it too.
+    // a is frozen while it sends the order; b acquires the lease and tries to send the same order.
     OrderResult taken = OrderResult::Applied;
     const orders::Sender frozen = [&](orders::Order order, uint64_t fence) -> Task<Ack> {
-        now += term;
+        now += leaseDuration;
         CHECK(co_await b.acquireOrRenew());
-        orders::Desk desk(api, b, "b", senderTo(engine), quarantine);
-        taken = co_await desk.carryOut(order);
-        co_return co_await engine.take(order, fence); // a wakes: its bytes arrive late
+        orders::Dispatcher dispatcher(api, b, "b", senderTo(engine), quarantine);
+        taken = co_await dispatcher.dispatch(order);
+        co_return co_await engine.take(order, fence); // a resumes; its order arrives late
     };
-    CHECK(carryOut(a, "a", frozen) == OrderResult::Applied);
+    CHECK(dispatch(a, "a", frozen) == OrderResult::Applied);
     CHECK(taken == OrderResult::Pending);
     LONGS_EQUAL(1, engine.gate.applied().size());
 }
 
-TEST(FencingLease, AnOrdersRecordIsNotAmongThoseThatAreSweptAway)
+TEST(FencingLease, OrderRecordsAreNotOfTheKindThatIsSwept)
 {
-    // Swept with the callers' records after a day, it would let the next
-    // holder send the order a second time.
+    // A record that is swept after a day, like those of callers' requests, would
+    // let the next holder send the order a second time.
     FakeEngine engine(false);
     CHECK(acquire(a));
-    CHECK(carryOut(a, "a", senderTo(engine)) == OrderResult::Applied);
+    CHECK(dispatch(a, "a", senderTo(engine)) == OrderResult::Applied);
     LONGS_EQUAL(0, store.list(idempotency::recordKind).items.size());
 }
 
-TEST(FencingLease, AnOrderWhoseAnswerIsLostIsNotSentAgain)
+TEST(FencingLease, OrderWithALostAnswerIsNotSentAgain)
 {
     FakeEngine engine(false);
     CHECK(acquire(a));
@@ -211,27 +211,27 @@
         co_await engine.take(order, fence);
         co_return Ack::Unknown;
     };
-    CHECK(carryOut(a, "a", lossy) == OrderResult::Pending);
-    CHECK(carryOut(a, "a", lossy) == OrderResult::Pending);
+    CHECK(dispatch(a, "a", lossy) == OrderResult::Pending);
+    CHECK(dispatch(a, "a", lossy) == OrderResult::Pending);
     LONGS_EQUAL(1, engine.gate.applied().size());
 }
 
-TEST(FencingLease, AHolderStopsAndNumbersGoOnWhenTheStoreReturnsFromACopyWithoutItsRecord)
+TEST(FencingLease, RestoreWithoutTheRecordEndsTheTermAndTokensKeepRising)
 {
     const auto copy = store.copy();
     CHECK(acquire(a));
     const auto before = a.fence();
     store.restore(copy);
-    CHECK_FALSE(acquire(b)); // a may still believe that it holds it
+    CHECK_FALSE(acquire(b)); // a may still act as the holder
     CHECK_FALSE(acquire(a));
     CHECK_FALSE(a.held());
-    now += term;
+    now += leaseDuration;
     CHECK(acquire(b));
     CHECK(b.fence() > before);
     CHECK_FALSE(acquire(a));
 }
 
-TEST(FencingLease, ALeaseThatTheCopyHasAsReleasedIsNotTakenBeforeItsLastHoldersTermIsOver)
+TEST(FencingLease, LeaseReleasedInTheBackupIsNotAcquiredBeforeTheLostTermIsOver)
 {
     CHECK(acquire(a));
     runBlocking(a.release());
@@ -240,30 +240,30 @@
     const auto before = a.fence();
     store.restore(copy);
     CHECK_FALSE(acquire(b));
-    now += term;
+    now += leaseDuration;
     CHECK(acquire(b));
     CHECK(b.fence() > before);
 }
 
-TEST(FencingLease, ARenewalThatMeetsALaterEpochDoesNotHoldTheLease)
+TEST(FencingLease, RenewalInALaterEpochDoesNotHoldTheLease)
 {
     CHECK(acquire(a));
     const auto copy = store.copy();
-    store.restore(copy); // the record stands at the same version
+    store.restore(copy); // the record has the same version in the new epoch
     CHECK_FALSE(acquire(a));
     CHECK_FALSE(a.held());
 }
 
-TEST(FencingLease, TwoReturnsInARowGiveNoNumberTwice)
+TEST(FencingLease, TokensStayUniqueAcrossTwoRestores)
 {
     const auto copy = store.copy();
-    std::set<uint64_t> numbers;
+    std::set<uint64_t> tokens;
     for (int round = 0; round < 3; ++round) {
         for (int tries = 0; !acquire(a) && tries < 5; ++tries) {
-            now += term;
+            now += leaseDuration;
         }
         CHECK(a.held());
-        CHECK(numbers.insert(a.fence()).second);
+        CHECK(tokens.insert(a.fence()).second);
         store.restore(copy);
     }
 }
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -1,5 +1,5 @@
-// Requests under which endpoints end: what is counted, what is told to other
-// routers and to the store, and what clears a request of suspicion.
+// Quarantine of requests that crash endpoints: which crashes count, which updates
+// go to other routers and to the store, and what clears a content.
 #include "load_exchange.h"
 #include "local_object_api.h"
 #include "orders.h"
@@ -27,68 +27,69 @@
     Clock::time_point now{std::chrono::hours(30)};
     RequestQuarantine q;
 
-    /// So many endpoints end under a request, a second apart.
-    void endpointsEnd(RequestQuarantine & router, uint64_t content, uint64_t first, int count)
+    /// Reports crashes of count endpoints under a content, 1 s apart, with hashes from first on.
+    void crashEndpoints(RequestQuarantine & router, uint64_t content, uint64_t first, int count)
     {
         for (int i = 0; i < count; ++i) {
             now += std::chrono::seconds(1);
             router.ended(content, first + static_cast<uint64_t>(i), now);
         }
     }
-    bool held(uint64_t content)
+    bool isQuarantined(uint64_t content)
     {
         return q.heldUntil(content, now).has_value();
     }
 };
 
-TEST(RequestQuarantine, AThirdEndpointThatEndsKeepsARequestFromTheOthers)
+TEST(RequestQuarantine, ThirdCrashedEndpointQuarantinesTheContent)
 {
-    endpointsEnd(q, harmful, 1, 2);
-    CHECK(!held(harmful));
-    q.ended(harmful, 2, now); // the same again, as another of its requests broke
-    CHECK(!held(harmful));
-    endpointsEnd(q, harmful, 3, 1);
-    CHECK(held(harmful));
-    CHECK(!held(harmless));
-    CHECK(*q.heldUntil(harmful, now) == now + q.options().heldFor);
+    crashEndpoints(q, harmful, 1, 2);
+    CHECK(!isQuarantined(harmful));
+    q.ended(harmful, 2, now); // the same endpoint again, from another request that it was running
+    CHECK(!isQuarantined(harmful));
+    crashEndpoints(q, harmful, 3, 1);
+    CHECK(isQuarantined(harmful));
+    CHECK(!isQuarantined(harmless));
+    CHECK(*q.heldUntil(harmful, now) == now + q.options().quarantineDuration);
     LONGS_EQUAL(1, q.heldCount(now));
 }
 
-TEST(RequestQuarantine, AWholeAnswerEndsTheSuspicion)
+TEST(RequestQuarantine, CompleteAnswerClearsEarlierCrashes)
 {
-    endpointsEnd(q, harmless, 1, 2);
+    crashEndpoints(q, harmless, 1, 2);
     q.answered(harmless, now);
     CHECK(!q.find(harmless).has_value());
-    now += q.options().trustedFor + Millis(1);
-    endpointsEnd(q, harmless, 3, 2);
-    CHECK(!held(harmless)); // those before the answer no longer count
+    now += q.options().answerGrace + Millis(1);
+    crashEndpoints(q, harmless, 3, 2);
+    CHECK(!isQuarantined(harmless)); // the crashes before the answer no longer count
 }
 
-// A failure domain goes, and with it several endpoints that all ran what is asked for most.
-TEST(RequestQuarantine, EndingsSoonAfterAWholeAnswerAreNotHeldAgainstARequest)
+// When a failure domain is lost, several endpoints end that all ran the most
+// frequent content. That content must not be quarantined.
+TEST(RequestQuarantine, CrashesSoonAfterACompleteAnswerDoNotCount)
 {
     q.answered(harmless, now);
-    endpointsEnd(q, harmless, 1, 9);
-    CHECK(!held(harmless));
-    now += q.options().trustedFor;
-    endpointsEnd(q, harmless, 11, 3); // none was whole for a minute
-    CHECK(held(harmless));
+    crashEndpoints(q, harmless, 1, 9);
+    CHECK(!isQuarantined(harmless));
+    now += q.options().answerGrace;
+    crashEndpoints(q, harmless, 11, 3); // no complete answer for longer than answerGrace
+    CHECK(isQuarantined(harmless));
 }
 
-TEST(RequestQuarantine, AfterItsTimeItMayGoOnAndOneMoreEndingRenewsIt)
+TEST(RequestQuarantine, ExpiredQuarantineIsRenewedByOneMoreCrash)
 {
-    endpointsEnd(q, harmful, 1, 3);
-    now += q.options().heldFor;
-    CHECK(!held(harmful));
-    endpointsEnd(q, harmful, 4, 1);
-    CHECK(held(harmful));
+    crashEndpoints(q, harmful, 1, 3);
+    now += q.options().quarantineDuration;
+    CHECK(!isQuarantined(harmful));
+    crashEndpoints(q, harmful, 4, 1);
+    CHECK(isQuarantined(harmful));
 }
 
-TEST(RequestQuarantine, RoutersThatSawOneEndingEachBringThemTogether)
+TEST(RequestQuarantine, CrashesSeenByThreeRoutersAreMergedToAQuarantine)
 {
     std::vector<RequestQuarantine> routers(3);
     for (std::size_t i = 0; i < routers.size(); ++i) {
-        endpointsEnd(routers[i], harmful, 10 + i, 1);
+        crashEndpoints(routers[i], harmful, 10 + i, 1);
     }
     for (auto &from : routers) {
         const auto news = from.takeNews(16);
@@ -103,74 +104,74 @@
     }
 }
 
-TEST(RequestQuarantine, NewsAreToldAFewTimesAndTheMostEndingsFirst)
+TEST(RequestQuarantine, UpdatesAreSentAFewTimesWithTheMostCrashesFirst)
 {
-    endpointsEnd(q, harmless, 1, 1);
-    endpointsEnd(q, harmful, 2, 2);
-    for (int i = 0; i < q.options().timesTold; ++i) {
+    crashEndpoints(q, harmless, 1, 1);
+    crashEndpoints(q, harmful, 2, 2);
+    for (int i = 0; i < q.options().sendsPerUpdate; ++i) {
         const auto news = q.takeNews(1);
         LONGS_EQUAL(1, news.records.size());
         CHECK(news.records.front().content == harmful);
     }
     CHECK(q.takeNews(1).records.front().content == harmless);
     const auto known = *q.find(harmful);
-    q.told(known, now); // nothing new
+    q.told(known, now); // adds nothing
     const auto later = q.takeNews(16);
     CHECK(std::none_of(later.records.begin(), later.records.end(), [](const auto &r) {
         return r.content == harmful;
     }));
 }
 
-TEST(RequestQuarantine, ARouterThatSawTheAnswerContradictsThoseThatBlameTheRequest)
+TEST(RequestQuarantine, RouterThatSawACompleteAnswerClearsTheRecordAtOthers)
 {
     RequestQuarantine other;
-    endpointsEnd(q, harmless, 1, 3);
-    CHECK(held(harmless));
+    crashEndpoints(q, harmless, 1, 3);
+    CHECK(isQuarantined(harmless));
     other.answered(harmless, now);
     other.told(q.takeNews(16).records.front(), now);
     CHECK(!other.heldUntil(harmless, now).has_value());
     const auto news = other.takeNews(16);
     LONGS_EQUAL(1, news.answers.size());
     q.told(news.answers.front());
-    CHECK(!held(harmless));
-    LONGS_EQUAL(1, q.takeNews(16).answers.size()); // told on
+    CHECK(!isQuarantined(harmless));
+    LONGS_EQUAL(1, q.takeNews(16).answers.size()); // the answer is forwarded
 }
 
-// Behind a proxy that outlives it, an endpoint that has ended is known by its
-// entry, which lapses after seconds: a request that comes often reaches others meanwhile.
-TEST(RequestQuarantine, AnAnswerThatBrokeCountsUntilItIsKnownWhy)
+// The crash of an endpoint behind a proxy shows only when its store entry
+// expires, seconds later. A frequent request must not reach more endpoints meanwhile.
+TEST(RequestQuarantine, BrokenAnswerCountsUntilItIsExplainedOrExpires)
 {
     q.broke(harmful, 1, now);
     q.broke(harmful, 1, now);
-    endpointsEnd(q, harmful, 2, 1);
-    CHECK(!held(harmful));
+    crashEndpoints(q, harmful, 2, 1);
+    CHECK(!isQuarantined(harmful));
     q.broke(harmful, 3, now);
-    CHECK(held(harmful));
+    CHECK(isQuarantined(harmful));
     q.lives(harmful, 3);
-    CHECK(!held(harmful));
+    CHECK(!isQuarantined(harmful));
     q.broke(harmful, 3, now);
-    now += q.options().suspectedFor;
-    CHECK(!held(harmful)); // an innocent request waits no longer than that
+    now += q.options().suspicionTimeout;
+    CHECK(!isQuarantined(harmful)); // bounds the wait of a content that crashed nothing
     q.broke(harmless, 1, now);
     q.answered(harmless, now);
     q.broke(harmless, 2, now);
     q.broke(harmless, 3, now);
-    CHECK(!held(harmless));
+    CHECK(!isQuarantined(harmless));
 }
 
-TEST(RequestQuarantine, SuspicionsAreToldToo)
+TEST(RequestQuarantine, SuspicionsFromAnotherRouterQuarantineTheContent)
 {
     RequestQuarantine other;
     for (uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
-        CHECK(other.takeNews(16).suspicions.empty()); // so far told by who saw them
+        CHECK(other.takeNews(16).suspicions.empty()); // only the router that saw a suspicion sends it
         q.broke(harmful, endpoint, now);
         for (const auto &suspicion : q.takeNews(16).suspicions) {
             other.told(suspicion, now);
         }
     }
     CHECK(other.heldUntil(harmful, now).has_value());
-    CHECK(!other.heldUntil(harmful, now + q.options().suspectedFor));
-    // Who counts them tells all routers of the third, and of those before it.
+    CHECK(!other.heldUntil(harmful, now + q.options().suspicionTimeout));
+    // With the third suspicion, the counting router sends all three to all routers.
     const auto news = other.takeNews(16);
     LONGS_EQUAL(3, news.suspicions.size());
     CHECK(news.urgent.count(harmful));
@@ -178,7 +179,7 @@
     CHECK(other.takeNews(16).urgent.empty());
 }
 
-TEST(RequestQuarantine, AnEndingCountsWithTheSuspicionsThatAllAreToldOf)
+TEST(RequestQuarantine, OneCrashAndTwoSuspicionsAreSentToAllRouters)
 {
     RequestQuarantine counter;
     counter.told(quarantine::Record{harmful, {1}, now}, now);
@@ -194,7 +195,7 @@
     CHECK(news.urgent.count(harmful));
 }
 
-TEST(RequestQuarantine, ARouterThatSawTheAnswerContradictsSuspicionsToo)
+TEST(RequestQuarantine, RouterThatSawACompleteAnswerRejectsSuspicions)
 {
     q.answered(harmless, now);
     q.told(quarantine::Suspicion{harmless, 1, now}, now);
@@ -203,7 +204,7 @@
     CHECK(news.suspicions.empty());
 }
 
-TEST(RequestQuarantine, NewsThatMatterToAllAreToldAtOnce)
+TEST(RequestQuarantine, UpdatesForAllRoutersAreSignalledAtOnce)
 {
     int urgent = 0;
     q.onNews = [&urgent] {
@@ -211,7 +212,7 @@
     };
     q.broke(harmful, 1, now);
     q.ended(harmful, 1, now);
-    LONGS_EQUAL(0, urgent); // of one ending all that the endpoint ran is under suspicion
+    LONGS_EQUAL(0, urgent); // a single crash implicates everything that the endpoint was running
     q.broke(harmful, 2, now);
     q.ended(harmful, 2, now);
     LONGS_EQUAL(1, urgent);
@@ -219,56 +220,56 @@
     LONGS_EQUAL(2, urgent);
 }
 
-TEST(RequestQuarantine, SuspicionsAreBounded)
+TEST(RequestQuarantine, NumberOfSuspicionsIsBounded)
 {
     quarantine::QuarantineOptions options;
-    options.mostSuspected = 100;
+    options.maxSuspectedRequests = 100;
     RequestQuarantine small(options);
     for (uint64_t content = 0; content < 1000; ++content) {
         small.broke(content, 1, now);
     }
-    CHECK(small.takeNews(1000).suspicions.size() <= options.mostSuspicionsTold);
+    CHECK(small.takeNews(1000).suspicions.size() <= options.maxQueuedSuspicions);
     for (uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
         small.broke(harmful, endpoint, now);
     }
     CHECK(small.heldUntil(harmful, now).has_value());
 }
 
-TEST(RequestQuarantine, WhoBringsEndingsTogetherSavesThem)
+TEST(RequestQuarantine, RouterThatMergesCrashesSavesTheRecord)
 {
-    endpointsEnd(q, harmful, 1, 1);
-    CHECK(q.takeUnsaved().empty()); // of one ending all that an endpoint ran is under suspicion
+    crashEndpoints(q, harmful, 1, 1);
+    CHECK(q.takeUnsaved().empty()); // a single crash is not saved
     q.told(quarantine::Record{harmful, {9}, now}, now);
     CHECK(q.takeUnsaved() == std::vector<uint64_t>{harmful});
     q.told(quarantine::Record{harmful, {1, 9, 10}, now}, now);
-    CHECK(q.takeUnsaved().empty()); // whoever told it did
+    CHECK(q.takeUnsaved().empty()); // the sender of a complete record has saved it
     q.answered(harmful, now);
-    CHECK(q.takeUnsaved() == std::vector<uint64_t>{harmful}); // to be removed
+    CHECK(q.takeUnsaved() == std::vector<uint64_t>{harmful}); // its stored record must be removed
 }
 
-TEST(RequestQuarantine, HeldRequestsAreToldInTurn)
+TEST(RequestQuarantine, QuarantinedRecordsAreReturnedInRotation)
 {
     for (uint64_t content = 1; content <= 5; ++content) {
-        endpointsEnd(q, content, 1, 3);
+        crashEndpoints(q, content, 1, 3);
     }
-    endpointsEnd(q, 6, 1, 1);
-    std::vector<uint64_t> told;
+    crashEndpoints(q, 6, 1, 1);
+    std::vector<uint64_t> returned;
     for (int i = 0; i < 5; ++i) {
         for (const auto &record : q.someHeld(2, now)) {
-            told.push_back(record.content);
+            returned.push_back(record.content);
         }
     }
-    CHECK((told == std::vector<uint64_t>{1, 2, 3, 4, 5, 1, 2, 3, 4, 5}));
+    CHECK((returned == std::vector<uint64_t>{1, 2, 3, 4, 5, 1, 2, 3, 4, 5}));
 }
 
-TEST(RequestQuarantine, InALossOfManyEndpointsWhatHasTheFewestEndingsIsForgottenFirst)
+TEST(RequestQuarantine, FullRecordTableDropsTheFewestCrashesFirst)
 {
     quarantine::QuarantineOptions options;
-    options.mostRecords = 100;
+    options.maxRecords = 100;
     RequestQuarantine small(options);
-    endpointsEnd(small, harmful, 1, 3);
+    crashEndpoints(small, harmful, 1, 3);
     for (uint64_t content = 10000; content < 10500; ++content) {
-        endpointsEnd(small, content, 50, 1);
+        crashEndpoints(small, content, 50, 1);
     }
     CHECK(small.heldUntil(harmful, now).has_value());
     LONGS_EQUAL(1, small.heldCount(now));
@@ -276,15 +277,15 @@
     CHECK(small.find(10499).has_value());
 }
 
-TEST(RequestQuarantine, AnswersThatAreRememberedAreBounded)
+TEST(RequestQuarantine, NumberOfRememberedAnswersIsBounded)
 {
     quarantine::QuarantineOptions options;
-    options.mostAnswers = 100;
+    options.maxAnswers = 100;
     RequestQuarantine small(options);
     for (uint64_t content = 0; content < 1000; ++content) {
         small.answered(content, now);
     }
-    endpointsEnd(small, 999, 1, 3);
+    crashEndpoints(small, 999, 1, 3);
     CHECK(!small.heldUntil(999, now).has_value());
 }
 
@@ -293,13 +294,13 @@
     Clock::time_point now{std::chrono::hours(30)};
 };
 
-TEST(EndingsDigest, EndingsAndAnswersComeOutWithTheirAge)
+TEST(EndingsDigest, DecodedCrashesAndAnswersKeepTheirAge)
 {
     peers::Digest digest;
     digest.endings = {{0xfedcba9876543210u, {1, 2, 0xffffffffffffffffu}, now - std::chrono::hours(2)}, {1, {5}, now}};
     digest.suspicions = {{8, 0xfedcba9876543210u, now - Millis(30)}};
     digest.answers = {{9, now - Millis(70)}};
-    const auto later = now + std::chrono::hours(9); // the receiver's clock is another one
+    const auto later = now + std::chrono::hours(9); // the receiver's clock differs
     const auto decoded = std::get<peers::Digest>(peers::decode(peers::encode(digest, now), later));
     const std::vector<quarantine::Record> expected{{0xfedcba9876543210u, {1, 2, 0xffffffffffffffffu}, later - std::chrono::hours(2)}, {1, {5}, later}};
     CHECK(decoded.endings == expected);
@@ -307,7 +308,7 @@
     CHECK(decoded.answers == (std::vector<quarantine::Answer>{{9, later - Millis(70)}}));
 }
 
-TEST(EndingsDigest, AFullDatagramFitsOnePacketAndMalformedOnesAreRefused)
+TEST(EndingsDigest, FullDatagramFitsOnePacketAndMalformedOnesAreRejected)
 {
     using nlohmann::json;
     peers::Digest digest;
@@ -340,24 +341,24 @@
 namespace
 {
 
-/// Routers that tell each other over loopback datagrams, in four failure domains.
-class TellingFleet
+/// Routers in four failure domains that exchange updates over loopback datagrams.
+class GossipFleet
 {
 public:
-    TellingFleet(Loop &loop, std::size_t size)
+    GossipFleet(Loop &loop, std::size_t size)
         : m_loop(loop)
         , routers(size)
     {
         for (std::size_t n = 0; n < size; ++n) {
             start(n);
         }
-        for (int listing = 0; listing < 2; ++listing) {
+        for (int pass = 0; pass < 2; ++pass) {
             for (auto &router : routers) {
                 loop.run(router.exchange->refreshPeers(Clock::now()));
             }
         }
     }
-    ~TellingFleet()
+    ~GossipFleet()
     {
         for (auto &router : routers) {
             router.exchange->stop();
@@ -372,14 +373,14 @@
         std::unique_ptr<peers::LoadExchange> exchange;
     };
 
-    /// Starts a router, or in place of one that knows things one that knows nothing.
+    /// Starts the n-th router, or replaces it by one with an empty quarantine.
     void start(std::size_t n)
     {
         auto &router = routers[n];
         if (router.exchange) {
             router.exchange->stop();
-            m_stopped.push_back(std::move(router.exchange)); // its tasks end later
-            m_forgotten.push_back(std::move(router.quarantine));
+            m_stoppedExchanges.push_back(std::move(router.exchange)); // its tasks return later
+            m_replacedQuarantines.push_back(std::move(router.quarantine));
         }
         router.quarantine = std::make_unique<RequestQuarantine>();
         const peers::Peer self{"router-" + std::to_string(n), "domain-" + std::to_string(n % 4), {"127.0.0.1", portOf(n)}, 0};
@@ -393,8 +394,8 @@
         m_loop.run(router.exchange->refreshPeers(Clock::now()));
     }
 
-    /// Runs until all routers, or all but one, keep a request from endpoints. False when they do not.
-    bool allHold(uint64_t content, std::size_t except = ~std::size_t{0})
+    /// Runs until all routers, except one if given, quarantine the content. Returns false after 20 s.
+    bool allQuarantine(uint64_t content, std::size_t except = ~std::size_t{0})
     {
         const auto until = Clock::now() + std::chrono::seconds(20);
         bool all = false;
@@ -407,10 +408,10 @@
         });
         return all;
     }
-    /// Lets news spread for a while.
-    void settle()
+    /// Runs for twelve rounds of the exchange.
+    void letUpdatesSpread()
     {
-        m_loop.run(settled());
+        m_loop.run(twelveRounds());
     }
 
     store::ObjectStore store;
@@ -424,9 +425,9 @@
             --m_tasks;
         });
     }
-    static Task<bool> settled()
+    static Task<bool> twelveRounds()
     {
-        co_await sleepFor(Millis(240)); // twelve rounds
+        co_await sleepFor(Millis(240)); // 12 rounds of 20 ms
         co_return true;
     }
     uint16_t portOf(std::size_t n)
@@ -442,8 +443,8 @@
     router::RoutingTable m_table;
     int m_tasks = 0;
     std::vector<uint16_t> m_ports;
-    std::vector<std::unique_ptr<peers::LoadExchange>> m_stopped;
-    std::vector<std::unique_ptr<RequestQuarantine>> m_forgotten;
+    std::vector<std::unique_ptr<peers::LoadExchange>> m_stoppedExchanges;
+    std::vector<std::unique_ptr<RequestQuarantine>> m_replacedQuarantines;
 
 public:
     std::vector<Router> routers;
@@ -453,57 +454,57 @@
 
 LOOP_GROUP(EndingsInAFleet);
 
-TEST(EndingsInAFleet, EndingsSeenAtDifferentRoutersKeepTheRequestFromAllEndpoints)
+TEST(EndingsInAFleet, CrashesSeenByDifferentRoutersQuarantineTheContentEverywhere)
 {
     for (const std::size_t size : {2, 9, 60}) {
-        TellingFleet fleet(loop(), size);
+        GossipFleet fleet(loop(), size);
         for (std::size_t i = 0; i < 3; ++i) {
             fleet.routers[(7 * i) % size].quarantine->ended(harmful, 100 + i, Clock::now());
-            fleet.settle();
+            fleet.letUpdatesSpread();
         }
-        CHECK(fleet.allHold(harmful));
+        CHECK(fleet.allQuarantine(harmful));
     }
 }
 
-// Endpoints behind proxies take connections also when they have ended: what is
-// known of them for seconds is suspicions, of three different routers.
-TEST(EndingsInAFleet, SuspicionsSeenAtDifferentRoutersKeepTheRequestFromAllEndpoints)
+// A proxy accepts connections for an endpoint that has crashed, so that for
+// seconds only suspicions are known, each at another router.
+TEST(EndingsInAFleet, SuspicionsSeenByDifferentRoutersQuarantineTheContentEverywhere)
 {
     for (const std::size_t size : {9, 40, 60}) {
-        TellingFleet fleet(loop(), size);
+        GossipFleet fleet(loop(), size);
         for (std::size_t i = 0; i < 3; ++i) {
             fleet.routers[(7 * i) % size].quarantine->broke(harmful, 100 + i, Clock::now());
-            fleet.settle();
+            fleet.letUpdatesSpread();
         }
-        CHECK(fleet.allHold(harmful));
+        CHECK(fleet.allQuarantine(harmful));
     }
 }
 
-TEST(EndingsInAFleet, TheyAreNotForgottenWhereRoutersAreReplacedOneAfterTheOther)
+TEST(EndingsInAFleet, CrashesAreKeptWhenTheRoutersThatSawThemAreReplaced)
 {
     for (const std::size_t size : {3, 9, 40}) {
-        TellingFleet fleet(loop(), size);
+        GossipFleet fleet(loop(), size);
         for (std::size_t i = 0; i < 3; ++i) {
-            const std::size_t seenBy = (5 * i) % size;
-            fleet.routers[seenBy].quarantine->ended(harmful, 100 + i, Clock::now());
-            fleet.settle();
-            fleet.start(seenBy);
-            fleet.settle();
+            const std::size_t witness = (5 * i) % size;
+            fleet.routers[witness].quarantine->ended(harmful, 100 + i, Clock::now());
+            fleet.letUpdatesSpread();
+            fleet.start(witness);
+            fleet.letUpdatesSpread();
         }
-        CHECK(fleet.allHold(harmful));
+        CHECK(fleet.allQuarantine(harmful));
     }
 }
 
-TEST(EndingsInAFleet, ARouterThatWasAwayHearsOfItFromTheOthers)
+TEST(EndingsInAFleet, ReplacedRouterLearnsTheQuarantineFromOthers)
 {
-    TellingFleet fleet(loop(), 9);
+    GossipFleet fleet(loop(), 9);
     for (std::size_t i = 0; i < 3; ++i) {
         fleet.routers[i].quarantine->ended(harmful, 100 + i, Clock::now());
     }
-    CHECK(fleet.allHold(harmful));
-    fleet.settle(); // the news have been told
+    CHECK(fleet.allQuarantine(harmful));
+    fleet.letUpdatesSpread(); // the updates have been sent
     fleet.start(8);
-    CHECK(fleet.allHold(harmful));
+    CHECK(fleet.allQuarantine(harmful));
 }
 
 LOOP_GROUP(QuarantineStore);
@@ -511,20 +512,20 @@
 namespace
 {
 
-bool never()
+bool neverAlone()
 {
     return false;
 }
 
-/// A router's quarantine with its keeper in the store.
+/// The quarantine of one router and its persistence in the store.
 struct StoredRouter {
     explicit StoredRouter(platform::ObjectApi &api, bool sweeps = false)
-        : keeper(api, quarantine, never, [sweeps] {
+        : persistence(api, quarantine, neverAlone, [sweeps] {
             return sweeps;
         })
     {
     }
-    void endpointsEnd(uint64_t first, int count)
+    void crashEndpoints(uint64_t first, int count)
     {
         for (int i = 0; i < count; ++i) {
             quarantine.ended(harmful, first + static_cast<uint64_t>(i), Clock::now());
@@ -533,70 +534,70 @@
     void saveAll(Loop &loop)
     {
         for (const auto content : quarantine.takeUnsaved()) {
-            CHECK(loop.run(keeper.save(content)));
+            CHECK(loop.run(persistence.save(content)));
         }
     }
-    bool holds() const
+    bool isQuarantined() const
     {
         return quarantine.heldUntil(harmful, Clock::now()).has_value();
     }
     RequestQuarantine quarantine;
-    quarantine::QuarantineStore keeper;
+    quarantine::QuarantineStore persistence;
 };
 
 } // namespace
 
-TEST(QuarantineStore, ARouterThatStartsGoesOnWithWhatOthersSaved)
+TEST(QuarantineStore, StartingRouterLoadsASavedQuarantine)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
     StoredRouter before(api);
-    before.endpointsEnd(1, 3);
+    before.crashEndpoints(1, 3);
     before.saveAll(loop());
     StoredRouter after(api);
-    CHECK(loop().run(after.keeper.load()));
-    CHECK(after.holds());
+    CHECK(loop().run(after.persistence.load()));
+    CHECK(after.isQuarantined());
 }
 
-TEST(QuarantineStore, AlsoAfterTwoEndingsOneMoreIsEnough)
+TEST(QuarantineStore, OneMoreCrashAfterTwoSavedOnesQuarantinesTheContent)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
     StoredRouter before(api);
-    before.endpointsEnd(1, 2);
+    before.crashEndpoints(1, 2);
     before.saveAll(loop());
     StoredRouter after(api);
-    CHECK(loop().run(after.keeper.load()));
-    CHECK(!after.holds());
-    after.endpointsEnd(3, 1);
-    CHECK(after.holds());
+    CHECK(loop().run(after.persistence.load()));
+    CHECK(!after.isQuarantined());
+    after.crashEndpoints(3, 1);
+    CHECK(after.isQuarantined());
 }
 
-TEST(QuarantineStore, WhatTwoRoutersSaveIsBroughtTogether)
+TEST(QuarantineStore, RecordsSavedByTwoRoutersAreMerged)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
     StoredRouter a(api);
     StoredRouter b(api);
-    a.endpointsEnd(1, 2);
-    b.endpointsEnd(2, 2);
+    a.crashEndpoints(1, 2);
+    b.crashEndpoints(2, 2);
     a.saveAll(loop());
     b.saveAll(loop());
-    CHECK(b.holds()); // it read the other's
+    CHECK(b.isQuarantined()); // saving has merged the record of the other router
     StoredRouter c(api);
-    CHECK(loop().run(c.keeper.load()));
-    CHECK(c.holds());
+    CHECK(loop().run(c.persistence.load()));
+    CHECK(c.isQuarantined());
 }
 
-TEST(QuarantineStore, WhatCouldNotBeSavedIsSavedOnceTheStoreIsBack)
+TEST(QuarantineStore, UnsavedRecordIsSavedAfterTheOutage)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
     StoredRouter a(api);
-    a.endpointsEnd(1, 3);
+    a.crashEndpoints(1, 3);
     api.outage = true;
     const auto running = [&]() -> Task<bool> {
-        co_await a.keeper.run();
+        co_await a.persistence.run();
         co_return true;
     };
     std::optional<bool> ended;
@@ -611,60 +612,60 @@
     loop().until([&] {
         return !store.list(quarantine::recordKind, "", 10).items.empty();
     });
-    a.keeper.stop();
+    a.persistence.stop();
     loop().until([&] {
         return ended.has_value();
     });
     StoredRouter b(api);
-    CHECK(loop().run(b.keeper.load()));
-    CHECK(b.holds());
+    CHECK(loop().run(b.persistence.load()));
+    CHECK(b.isQuarantined());
 }
 
-TEST(QuarantineStore, WhatTheStoreLostIsSavedAgain)
+TEST(QuarantineStore, RecordsLostInARestoreAreSavedAgain)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
     StoredRouter before(api);
     const auto copy = store.copy();
-    CHECK(loop().run(before.keeper.load()));
-    before.endpointsEnd(1, 3);
+    CHECK(loop().run(before.persistence.load()));
+    before.crashEndpoints(1, 3);
     before.saveAll(loop());
     for (int round = 0; round < 2; ++round) {
         store.restore(copy);
-        CHECK(loop().run(before.keeper.load()));
+        CHECK(loop().run(before.persistence.load()));
         before.saveAll(loop());
     }
     StoredRouter starts(api);
-    CHECK(loop().run(starts.keeper.load()));
-    CHECK(starts.holds());
+    CHECK(loop().run(starts.persistence.load()));
+    CHECK(starts.isQuarantined());
 }
 
-TEST(QuarantineStore, AWholeAnswerTakesTheRecordAway)
+TEST(QuarantineStore, CompleteAnswerRemovesTheRecord)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
     StoredRouter a(api);
-    a.endpointsEnd(1, 3);
+    a.crashEndpoints(1, 3);
     a.saveAll(loop());
     a.quarantine.answered(harmful, Clock::now());
     a.saveAll(loop());
     LONGS_EQUAL(0, store.list(quarantine::recordKind, "", 10).items.size());
 }
 
-TEST(QuarantineStore, AnOperatorsReleaseEndsAQuarantine)
+TEST(QuarantineStore, OperatorsReleaseEndsAQuarantine)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
     StoredRouter a(api);
-    a.endpointsEnd(1, 3);
+    a.crashEndpoints(1, 3);
     a.saveAll(loop());
     const auto name = store.list(quarantine::recordKind, "", 10).items.front().name;
     store.put(quarantine::recordKind, name, quarantine::releaseBy("ops", "mended in the engine"), std::nullopt);
-    CHECK(loop().run(a.keeper.load()));
-    CHECK(!a.holds());
+    CHECK(loop().run(a.persistence.load()));
+    CHECK(!a.isQuarantined());
 }
 
-TEST(QuarantineStore, EntriesOfOthersThatCanNotBeReadAreLeftAlone)
+TEST(QuarantineStore, UnreadableEntriesAreKeptAndIgnored)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
@@ -679,30 +680,30 @@
     }
     store.put(quarantine::recordKind, "not hexadecimal", {{"endpoints", {"1"}}, {"last_ended_ms", 5}}, std::nullopt);
     StoredRouter a(api, true);
-    CHECK(loop().run(a.keeper.load()));
+    CHECK(loop().run(a.persistence.load()));
     LONGS_EQUAL(6, store.list(quarantine::recordKind, "", 10).items.size());
     LONGS_EQUAL(0, a.quarantine.heldCount(Clock::now()));
 }
 
-TEST(QuarantineStore, WhatIsTooOldIsRemovedByTheSweeperAlone)
+TEST(QuarantineStore, OnlyTheSweeperRemovesExpiredRecords)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
     store.put(quarantine::recordKind, "1b59", {{"endpoints", {"1", "2", "3"}}, {"last_ended_ms", 5}}, std::nullopt);
     StoredRouter other(api);
-    CHECK(loop().run(other.keeper.load()));
+    CHECK(loop().run(other.persistence.load()));
     LONGS_EQUAL(1, store.list(quarantine::recordKind, "", 10).items.size());
-    CHECK(!other.holds());
+    CHECK(!other.isQuarantined());
     StoredRouter sweeper(api, true);
-    CHECK(loop().run(sweeper.keeper.load()));
+    CHECK(loop().run(sweeper.persistence.load()));
     LONGS_EQUAL(0, store.list(quarantine::recordKind, "", 10).items.size());
 }
 
 LOOP_GROUP(OrderThatEndsEngines);
 
-// An order to load a model went to one engine of a pool after the other, and
-// each ended under it: what had happened was kept by engine, not by order.
-TEST(OrderThatEndsEngines, ItDoesNotGoRoundThePool)
+// An order to load a model that crashes engines must not reach one engine of the
+// pool after the other: crashes are counted per order, not per engine.
+TEST(OrderThatEndsEngines, OrderIsNotSentToTheWholePool)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
@@ -710,16 +711,16 @@
     CHECK(loop().run(lease.acquireOrRenew()));
     RequestQuarantine quarantine;
     int sent = 0;
-    const orders::Sender ending = [&](orders::Order order, uint64_t) -> Task<orders::Ack> {
+    const orders::Sender crashingSender = [&](orders::Order order, uint64_t) -> Task<orders::Ack> {
         ++sent;
         co_return order.argument == "counsel-v3" ? orders::Ack::EngineEnded : orders::Ack::Applied;
     };
-    orders::Desk desk(api, lease, "a", ending, quarantine);
+    orders::Dispatcher dispatcher(api, lease, "a", crashingSender, quarantine);
     for (int n = 0; n < 8; ++n) {
-        const auto result = loop().run(desk.carryOut({"engine-" + std::to_string(n), "load_model", "counsel-v3", "load.2"}));
+        const auto result = loop().run(dispatcher.dispatch({"engine-" + std::to_string(n), "load_model", "counsel-v3", "load.2"}));
         CHECK(result == (n < 3 ? orders::OrderResult::EngineEnded : orders::OrderResult::Quarantined));
     }
     LONGS_EQUAL(3, sent);
-    const auto other = loop().run(desk.carryOut({"engine-0", "load_model", "counsel-v2", "load.1"}));
+    const auto other = loop().run(dispatcher.dispatch({"engine-0", "load_model", "counsel-v2", "load.1"}));
     CHECK(other == orders::OrderResult::Applied);
 }
