--- a/src/cli.h
+++ b/src/cli.h
@@ -1,4 +1,4 @@
-// Command line: popt parsing shared by every binary, and the exit codes.
+// Command line parsing with popt, settings loading and exit codes, shared by all programs.
 #pragma once
 
 #include "findings.h"
@@ -15,28 +15,29 @@
 namespace yucca::cli
 {
 
-/// Exit codes, the same for every binary (documented in docs/OPERATIONS.md).
+/// Exit codes of all programs (documented in docs/OPERATIONS.md).
 enum ExitCode : int {
     ExitOk = 0, ///< success
-    ExitFailure = 1, ///< the work failed (a lost or wrong answer, an unreachable service)
-    ExitUsage = 2, ///< bad command line or settings; nothing was started
-    ExitConflict = 3, ///< yucca-ctl: a conditional update lost a race
+    ExitFailure = 1, ///< the operation failed (lost or wrong answer, unreachable service)
+    ExitUsage = 2, ///< invalid command line or settings; nothing was started
+    ExitConflict = 3, ///< yucca-ctl: a conditional update conflicted with another change
 };
 
-/// Options every binary takes besides its own.
+/// Options that all programs accept.
 struct Common {
     char *config = nullptr; ///< --config FILE
     int version = 0; ///< --version
 };
 
-/// Parses argv with popt. Returns an exit code when the program should stop
-/// now (help, version, usage error); otherwise fills rest with the leftover
-/// arguments and returns nothing.
+/// Parses argv with popt. Returns an exit code if the program must exit now
+/// (version, usage error); otherwise appends the positional arguments to rest and
+/// returns nothing. The help option prints the options and exits.
 std::optional<int> parse(const char *program, int argc, const char **argv, const poptOption *own, Common &common, std::vector<std::string> &rest,
                          const char *usage = nullptr);
 
-/// Loads the settings file named by --config (or an empty document) and
-/// parses it; prints every finding to stderr and returns nothing when any.
+/// Loads and parses the settings file named by --config, or an empty document
+/// without one. If there are findings, prints all of them to stderr and returns
+/// nothing.
 template <typename T> std::optional<T> loadSettings(const Common &common, const std::function<T(const nlohmann::json &, Findings &)> &parseFn)
 {
     Findings findings;
@@ -49,7 +50,7 @@
     return value;
 }
 
-/// Waits until SIGTERM or SIGINT arrives.
+/// Waits for SIGTERM or SIGINT.
 Task<void> stopSignal();
 
 } // namespace yucca::cli
--- a/src/ctl.cpp
+++ b/src/ctl.cpp
@@ -14,10 +14,10 @@
 namespace
 {
 
-constexpr const char *markKey = "change"; ///< an entry's mark of the change that wrote it
+constexpr const char *changeIdKey = "change"; ///< field of an entry: the id of the change that wrote it
 
-// A mark no other change has.
-std::string newMark()
+// Returns a random id, unique to this change.
+std::string newChangeId()
 {
     std::random_device entropy;
     char text[32];
@@ -25,13 +25,13 @@
     return text;
 }
 
-std::string auditName(const Entry &entry, const std::string &mark)
+std::string auditRecordName(const Entry &entry, const std::string &changeId)
 {
-    return entry.kind + "." + entry.name + "." + mark;
+    return entry.kind + "." + entry.name + "." + changeId;
 }
 
-// The audit record of a change that is about to be written. (GCC 12 cannot
-// keep braced lists in a coroutine's frame: it is made in a plain function.)
+// Returns the audit record of a change that is about to be written. Not part of
+// the coroutine, as GCC 12 cannot keep braced lists in a coroutine frame.
 json proposedRecord(const Entry &entry, const Author &author, uint64_t version, const json &before)
 {
     return {{"kind", entry.kind},    {"name", entry.name},      {"base", version},          {"before", before},     {"after", entry.value},
@@ -43,8 +43,8 @@
     return entry.kind + "/" + entry.name;
 }
 
-// Finds out whether a write whose answer was lost took effect.
-Task<Result<platform::Object>> resolveLost(platform::ObjectApi &api, const Entry &entry, const json &written)
+// Reads the entry to find out whether a write took effect after its response was lost.
+Task<Result<platform::Object>> resolveLostWrite(platform::ObjectApi &api, const Entry &entry, const json &written)
 {
     auto got = co_await api.get(entry.kind, entry.name, platform::Freshness::Current);
     if (!ok(got)) {
@@ -57,7 +57,7 @@
     co_return Error{store::Conflict, "the entry is at version " + std::to_string(std::get<platform::Object>(got).version)};
 }
 
-Change changeFrom(const Entry &entry, const Result<platform::Object> &put)
+Change toChange(const Entry &entry, const Result<platform::Object> &put)
 {
     if (ok(put)) {
         const auto version = std::get<platform::Object>(put).version;
@@ -69,7 +69,7 @@
         return {ChangeResult::LostRace, 0,
                 describe(entry) + " was changed by someone else: " + error.message + "; nothing written. Read it again (get), then apply."};
     case store::AnswerLost:
-        return {ChangeResult::Unknown, 0, describe(entry) + ": the answer was lost; the change may have been applied. Run history to see."};
+        return {ChangeResult::Unknown, 0, describe(entry) + ": the response was lost; the change may have been applied. Run history to check."};
     default:
         return {ChangeResult::Failed, 0, describe(entry) + ": " + error.message + "; nothing written"};
     }
@@ -82,10 +82,10 @@
 
 } // namespace
 
-json withoutMark(json value)
+json withoutChangeId(json value)
 {
     if (value.is_object()) {
-        value.erase(markKey);
+        value.erase(changeIdKey);
     }
     return value;
 }
@@ -96,9 +96,9 @@
     const json list = document.is_array() ? document : json::array({document});
     for (std::size_t i = 0; i < list.size(); ++i) {
         const auto &item = list[i];
-        const std::string where = "/" + std::to_string(i);
+        const std::string path = "/" + std::to_string(i);
         if (!item.is_object()) {
-            findings.add(where, "must be an object");
+            findings.add(path, "must be an object");
             continue;
         }
         Entry e;
@@ -112,13 +112,13 @@
             } else if (key == "ifVersion" && value.is_number_unsigned()) {
                 e.ifVersion = value.get<uint64_t>();
             } else {
-                findings.add(where + "/" + key, "unknown key or wrong type");
+                findings.add(path + "/" + key, "unknown key or wrong type");
             }
         }
         if (e.name.empty()) {
-            findings.add(where + "/name", "required");
+            findings.add(path + "/name", "required");
         }
-        catalogue::check(e.kind, e.value, where + "/value", findings);
+        catalogue::check(e.kind, e.value, path + "/value", findings);
         out.push_back(std::move(e));
     }
     return out;
@@ -128,33 +128,33 @@
 {
     auto current = co_await api.get(entry.kind, entry.name, platform::Freshness::Current);
     if (!ok(current) && std::get<Error>(current).code != store::NotFound) {
-        co_return changeFrom(entry, current);
+        co_return toChange(entry, current);
     }
     const bool exists = ok(current);
-    const json before = exists ? withoutMark(std::get<platform::Object>(current).value) : json();
+    const json before = exists ? withoutChangeId(std::get<platform::Object>(current).value) : json();
     const uint64_t version = exists ? std::get<platform::Object>(current).version : 0;
     const uint64_t expected = entry.ifVersion.value_or(version);
     if (expected != version) {
         const Error error{store::Conflict, describe(entry) + " is at version " + std::to_string(version) + ", not " + std::to_string(expected)};
-        co_return changeFrom(entry, error);
+        co_return toChange(entry, error);
     }
     if (before == entry.value) {
         co_return unchanged(entry, version);
     }
-    const std::string mark = newMark();
-    const std::string auditKey = auditName(entry, mark);
+    const std::string changeId = newChangeId();
+    const std::string auditKey = auditRecordName(entry, changeId);
     json record = proposedRecord(entry, author, version, before);
     auto proposed = co_await api.put(catalogue::auditKind, auditKey, record, std::nullopt);
     if (!ok(proposed) && std::get<Error>(proposed).code != store::AnswerLost) {
-        co_return changeFrom(entry, Error{store::Unavailable, "no audit record could be written: " + std::get<Error>(proposed).message});
+        co_return toChange(entry, Error{store::Unavailable, "no audit record could be written: " + std::get<Error>(proposed).message});
     }
-    json marked = entry.value;
-    marked[markKey] = mark;
-    auto put = co_await api.put(entry.kind, entry.name, marked, expected);
+    json taggedValue = entry.value;
+    taggedValue[changeIdKey] = changeId;
+    auto put = co_await api.put(entry.kind, entry.name, taggedValue, expected);
     if (!ok(put) && std::get<Error>(put).code == store::AnswerLost) {
-        put = co_await resolveLost(api, entry, marked);
+        put = co_await resolveLostWrite(api, entry, taggedValue);
     }
-    const Change change = changeFrom(entry, put);
+    const Change change = toChange(entry, put);
     if (change.result != ChangeResult::Unknown) {
         record["outcome"] = change.result == ChangeResult::Applied ? "accepted" : "refused";
         record["version"] = change.version;
@@ -187,9 +187,9 @@
             continue;
         }
         std::string outcome = record.value("outcome", "");
-        const std::string mark = object.name.substr(std::min(prefix.size(), object.name.size()));
-        if (outcome == "proposed" && ok(current) && std::get<platform::Object>(current).value.value(markKey, "") == mark) {
-            outcome = "accepted"; // its author's program died before noting it
+        const std::string changeId = object.name.substr(std::min(prefix.size(), object.name.size()));
+        if (outcome == "proposed" && ok(current) && std::get<platform::Object>(current).value.value(changeIdKey, "") == changeId) {
+            outcome = "accepted"; // the program ended before it recorded the outcome
         }
         AuditLine line;
         line.record = record;
--- a/src/ctl.h
+++ b/src/ctl.h
@@ -1,5 +1,5 @@
-// The operators' commands on the catalogue: every change is a conditional
-// update, and leaves an audit record that is written before it.
+// The operators' commands on the catalogue. applyEntry() makes each change as a
+// conditional update and writes its audit record first.
 #pragma once
 
 #include "findings.h"
@@ -15,14 +15,14 @@
 namespace yucca::ctl
 {
 
-/// Who makes a change, and why.
+/// The author of a change and the reason for it.
 struct Author {
     std::string name;
     std::string reason;
 };
 
-/// One entry of an apply file. ifVersion: absent = the version read just
-/// before the write; 0 = must not exist yet.
+/// One entry of an apply file. ifVersion is the version to replace; absent: the
+/// version read just before the write; 0: the entry must not exist.
 struct Entry {
     std::string kind;
     std::string name;
@@ -30,13 +30,13 @@
     std::optional<uint64_t> ifVersion;
 };
 
-/// How a change ended.
+/// Result of a change.
 enum class ChangeResult {
     Applied,
     Unchanged, ///< the entry already had this value
-    LostRace, ///< somebody else changed it first; nothing was written
+    LostRace, ///< conflict with another change; nothing was written
     Failed, ///< nothing was written
-    Unknown, ///< the write's answer was lost, and reading it back failed
+    Unknown, ///< the response to the write was lost, and reading the entry back failed
 };
 
 inline constexpr NameTable<ChangeResult, 5> changeResultNames{{{ChangeResult::Applied, "applied"},
@@ -45,36 +45,36 @@
                                                                {ChangeResult::Failed, "failed"},
                                                                {ChangeResult::Unknown, "unknown"}}};
 
-/// A change's end, the version the entry is at, and what to tell the operator.
+/// Result of a change, the version of the entry (0 unless applied or unchanged) and a message for the operator.
 struct Change {
     ChangeResult result = ChangeResult::Failed;
     uint64_t version = 0;
     std::string message;
 };
 
-/// Reads and checks an apply file's document; problems go to findings.
+/// Parses and checks the document of an apply file: one entry or a list. Problems are added to the findings.
 std::vector<Entry> parseEntries(const nlohmann::json &document, Findings &findings);
 
-/// An entry's value without the mark of the change that wrote it.
-nlohmann::json withoutMark(nlohmann::json value);
+/// Returns an entry's value without the id of the change that wrote it.
+nlohmann::json withoutChangeId(nlohmann::json value);
 
-/// Carries out one change: the audit record first, then the conditional
-/// write, then the record's outcome. An accepted change thus always has a
-/// record, also when this program dies between the two; the mark in the
-/// entry tells which record's change it is.
+/// Makes one change: writes the audit record, then the entry (conditionally), then
+/// the outcome into the audit record. An accepted change thus always has a record,
+/// even if this program ends between the writes; the change id in the entry
+/// identifies the record. Writes nothing if the entry already has the value.
 Task<Change> applyEntry(platform::ObjectApi &api, Entry entry, Author author);
 
-/// The order that evacuates a failure domain, or takes that back.
+/// Returns the entry that evacuates a failure domain (active) or ends its evacuation. nowS is the Unix time in seconds.
 Entry evacuationEntry(const std::string &domain, bool active, const Author &author, int64_t nowS);
 
-/// One audit record of an entry, with the outcome read off the entry itself
-/// when the program died before it could record it.
+/// One audit record of an entry. If the program ended before it recorded the
+/// outcome, the outcome is derived from the change id in the entry.
 struct AuditLine {
     nlohmann::json record;
     std::string outcome; ///< accepted, refused or proposed
 };
 
-/// The audit records of an entry, oldest first.
+/// Returns the audit records of an entry, oldest first; an error if the records cannot be listed.
 Task<Result<std::vector<AuditLine>>> history(platform::ObjectApi &api, std::string kind, std::string name);
 
 } // namespace yucca::ctl
--- a/src/ctl_main.cpp
+++ b/src/ctl_main.cpp
@@ -1,4 +1,4 @@
-// yucca-ctl: the operators' command line for the catalogue.
+// yucca-ctl: the operators' command line tool for the catalogue.
 #include "catalogue.h"
 #include "cli.h"
 #include "ctl.h"
@@ -19,8 +19,8 @@
 using namespace yucca;
 using nlohmann::json;
 
-// An object as yucca-ctl prints it.
-json shown(const store::Object &o)
+// Returns an object in the form that yucca-ctl prints.
+json toOutput(const store::Object &o)
 {
     return {{"kind", o.kind}, {"name", o.name}, {"version", o.version}, {"value", o.value}};
 }
@@ -33,15 +33,15 @@
                               "  edit KIND NAME PATH VALUE  set one field, e.g. edit workspace ws-0 /limits/maxInflight 32\n"
                               "  remove KIND NAME VERSION   remove an entry that is at VERSION\n"
                               "  history KIND NAME          print the audit records of an entry\n"
-                              "  release CONTENT            let a request go on under which endpoints ended (list quarantine)\n"
-                              "  evacuate DOMAIN            send nothing more to the endpoints of a failure domain\n"
-                              "  return DOMAIN              take that back\n"
-                              "  evacuations                print who evacuated which domain, and since when\n"
-                              "  explain ID FILE...         tell what became of a request, from routers' logs\n"
+                              "  release CONTENT            release a request from quarantine; CONTENT as shown by: list quarantine\n"
+                              "  evacuate DOMAIN            stop sending requests to the endpoints of a failure domain\n"
+                              "  return DOMAIN              end the evacuation of a failure domain\n"
+                              "  evacuations                print the evacuation orders with author and time\n"
+                              "  explain ID FILE...         explain the outcome of a request from the routers' logs\n"
                               "KIND is workspace, class or evacuation. Every change is conditional on the version read;\n"
-                              "a lost race exits 3 and writes nothing.";
+                              "on a conflict nothing is written and the exit code is 3.";
 
-/// Where the platform is and who is at the keyboard.
+/// Settings of yucca-ctl: the address of the object API and the author of changes.
 struct Settings {
     http::Address platform{"127.0.0.1", 7400};
     ctl::Author author;
@@ -66,12 +66,12 @@
     return e.code == store::Conflict ? cli::ExitConflict : cli::ExitFailure;
 }
 
-// Prints how a change ended; returns the exit code it stands for.
+// Prints the result of a change and returns the matching exit code.
 int printChange(const ctl::Change &change)
 {
-    const bool good = change.result == ctl::ChangeResult::Applied || change.result == ctl::ChangeResult::Unchanged;
-    fprintf(good ? stdout : stderr, "%s%s\n", good ? "" : "yucca-ctl: ", change.message.c_str());
-    if (good) {
+    const bool succeeded = change.result == ctl::ChangeResult::Applied || change.result == ctl::ChangeResult::Unchanged;
+    fprintf(succeeded ? stdout : stderr, "%s%s\n", succeeded ? "" : "yucca-ctl: ", change.message.c_str());
+    if (succeeded) {
         return cli::ExitOk;
     }
     return change.result == ctl::ChangeResult::LostRace ? cli::ExitConflict : cli::ExitFailure;
@@ -101,7 +101,7 @@
     if (!ok(r)) {
         return printError(std::get<Error>(r));
     }
-    printf("%s\n", shown(std::get<platform::Object>(r)).dump(2).c_str());
+    printf("%s\n", toOutput(std::get<platform::Object>(r)).dump(2).c_str());
     return cli::ExitOk;
 }
 
@@ -112,7 +112,7 @@
         return printError(std::get<Error>(r));
     }
     for (const auto &object : std::get<platform::Listing>(r).items) {
-        printf("%s\n", shown(object).dump().c_str());
+        printf("%s\n", toOutput(object).dump().c_str());
     }
     return cli::ExitOk;
 }
@@ -122,7 +122,7 @@
     return printChange(runBlocking(ctl::applyEntry(api, ctl::evacuationEntry(domain, active, author, std::time(nullptr)), author)));
 }
 
-// One line a failure domain: who gave or took back its order, and when.
+// Prints one line per failure domain: its state, and when and by whom it was ordered.
 int printEvacuations(platform::ObjectApi &api)
 {
     const auto r = runBlocking(platform::listAll(api, catalogue::evacuationKind));
@@ -144,7 +144,7 @@
     return cli::ExitOk;
 }
 
-// Applies every entry of a file; the exit code is the worst of them.
+// Applies all entries of a file and returns the highest exit code.
 int apply(platform::ObjectApi &api, const std::string &path, const ctl::Author &author)
 {
     const auto entries = readEntries(path);
@@ -169,7 +169,7 @@
         if (!ok(current) && std::get<Error>(current).code != store::NotFound) {
             return printError(std::get<Error>(current));
         }
-        const json before = ok(current) ? ctl::withoutMark(std::get<platform::Object>(current).value) : json();
+        const json before = ok(current) ? ctl::withoutChangeId(std::get<platform::Object>(current).value) : json();
         const auto version = ok(current) ? std::get<platform::Object>(current).version : 0;
         const std::string what = entry.kind + "/" + entry.name + " (version " + std::to_string(version) + ")";
         if (before == entry.value) {
@@ -181,7 +181,7 @@
     return cli::ExitOk;
 }
 
-// Sets one field of an entry, named by its JSON pointer.
+// Sets one field of an entry, given by its JSON pointer.
 int edit(platform::ObjectApi &api, const std::vector<std::string> &args, const ctl::Author &author)
 {
     const auto current = runBlocking(api.get(args[1], args[2], platform::Freshness::Current));
@@ -189,10 +189,10 @@
         return printError(std::get<Error>(current));
     }
     const auto &object = std::get<platform::Object>(current);
-    json value = ctl::withoutMark(object.value);
+    json value = ctl::withoutChangeId(object.value);
     json field = json::parse(args[4], nullptr, false);
     if (field.is_discarded()) {
-        field = args[4]; // a bare word is a string
+        field = args[4]; // text that is not JSON is taken as a string
     }
     Findings findings;
     try {
@@ -234,7 +234,7 @@
     return cli::ExitOk;
 }
 
-// Ends the quarantine of a request; routers read it within half a minute.
+// Ends the quarantine of a request. Routers notice it within 30 seconds.
 int release(platform::ObjectApi &api, const std::string &content, const ctl::Author &author)
 {
     const auto current = runBlocking(api.get(quarantine::recordKind, content, platform::Freshness::Current));
@@ -261,9 +261,9 @@
         }
         reader.read(log, args[i]);
     }
-    const auto story = reader.finish();
-    printf("%s", explain::format(story).c_str());
-    return story.entries.empty() ? cli::ExitFailure : cli::ExitOk;
+    const auto timeline = reader.finish();
+    printf("%s", explain::format(timeline).c_str());
+    return timeline.entries.empty() ? cli::ExitFailure : cli::ExitOk;
 }
 
 } // namespace
--- a/src/explain.h
+++ b/src/explain.h
@@ -1,4 +1,4 @@
-// One request's story, read out of the logs of several routers.
+// Reconstructs the timeline of one request from the logs of several routers.
 #pragma once
 
 #include <cstdint>
@@ -9,44 +9,46 @@
 namespace yucca::explain
 {
 
-/// One line of a log that has to do with the request.
+/// One log event that concerns the request.
 struct Entry {
-    int64_t ms = 0; ///< when, since 1970; the routers' clocks may differ a little
-    std::string source; ///< the file it came from
+    int64_t timeMs = 0; ///< time in Unix ms; clocks of different routers may differ slightly
+    std::string source; ///< name of the log file
     std::string event;
-    std::string text; ///< what it says, in a sentence
+    std::string text; ///< the event in words
 };
 
-/// What the logs say of a request.
-struct Story {
-    std::vector<Entry> entries; ///< in order
-    std::string cause; ///< why it ended as it did
-    int64_t skipped = 0; ///< lines that are no event of ours
+/// The events of one request in all logs.
+struct Timeline {
+    std::vector<Entry> entries; ///< by time
+    std::string cause; ///< why the request ended the way it did
+    int64_t skippedLines = 0; ///< number of lines that are not log events
 };
 
-/// Collects a request's story. Call read() for each log, then finish().
+/// Builds the timeline of a request: call read() for each log, then finish().
 class Reader
 {
 public:
     explicit Reader(std::string requestId)
-        : m_id(std::move(requestId))
+        : m_requestId(std::move(requestId))
     {
     }
+    /// Reads a whole log in JSON lines format. Lines that are not log events are counted and skipped.
     void read(std::istream &log, const std::string &source);
-    Story finish();
+    /// Returns the timeline sorted by time, with the cause of the outcome. Call it once, after the last read().
+    Timeline finish();
 
 private:
-    std::string m_id;
-    Story m_story;
+    std::string m_requestId;
+    Timeline m_timeline;
     std::string m_causeCandidate;
-    int m_weight = -1; ///< of the line that the cause was read from
-    std::vector<Entry> m_endpointNews; ///< ejections and departures, kept if the request met the endpoint
-    std::vector<std::string> m_endpointNames; ///< of m_endpointNews, in its order
-    std::vector<std::string> m_endpoints; ///< that the request was sent to
-    void note(int weight, const std::string &cause);
+    int m_causeRank = -1; ///< rank of the event that m_causeCandidate was taken from
+    std::vector<Entry> m_endpointEvents; ///< ejections and departures; those of attempted endpoints join the timeline
+    std::vector<std::string> m_eventEndpoints; ///< the endpoint of each of m_endpointEvents
+    std::vector<std::string> m_attemptedEndpoints; ///< endpoints that the request was sent to
+    void proposeCause(int rank, const std::string &cause);
 };
 
-/// The story as text for a terminal.
-std::string format(const Story &story);
+/// Formats a timeline as text for a terminal.
+std::string format(const Timeline &timeline);
 
 } // namespace yucca::explain
--- a/src/http.cpp
+++ b/src/http.cpp
@@ -9,7 +9,7 @@
 {
     Request req{bhttp::string_to_verb(beastView(method)), beastView(target), 11};
     for (const auto &[name, value] : headers) {
-        req.insert(name, value); // a repeated field stays repeated
+        req.insert(name, value); // keeps repeated fields
     }
     if (!body.empty() && req.count(bhttp::field::content_type) == 0) {
         req.set(bhttp::field::content_type, "application/json");
@@ -20,7 +20,7 @@
 
 std::optional<Millis> backOffAskedFor(unsigned status, std::string_view retryAfter)
 {
-    constexpr double longestSeconds = 3600; // a peer's mistake must not shut it out for good
+    constexpr double maxSeconds = 3600; // a wrong value from a peer must not exclude it for good
     if (status != 429 && status != 503) {
         return std::nullopt;
     }
@@ -28,7 +28,7 @@
     if (!seconds || !(*seconds > 0)) {
         return std::nullopt;
     }
-    return std::chrono::ceil<Millis>(std::chrono::duration<double>(std::min(*seconds, longestSeconds)));
+    return std::chrono::ceil<Millis>(std::chrono::duration<double>(std::min(*seconds, maxSeconds)));
 }
 
 std::optional<Address> parseAddress(std::string_view text)
--- a/src/http.h
+++ b/src/http.h
@@ -1,4 +1,4 @@
-// HTTP messages on Boost.Beast shared by the server and the client.
+// HTTP message types and helpers shared by the server and the client, on Boost.Beast.
 #pragma once
 
 #include "task.h"
@@ -21,51 +21,51 @@
 using Request = bhttp::request<bhttp::string_body>;
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-/// Where an HTTP server listens: an IP address and a port.
+/// Address of an HTTP server: an IP address and a port.
 struct Address {
     std::string host;
     uint16_t port = 0;
     auto operator<=>(const Address &) const = default;
 };
 
-/// Reads an address written as HOST:PORT, or nothing.
+/// Parses HOST:PORT; returns nothing if the text has another form.
 std::optional<Address> parseAddress(std::string_view text);
 
-/// Where a failed call broke off: decides whether the request may have run.
+/// The stage at which a call failed, which decides whether the request may have run.
 enum class CallStage {
-    Connect, ///< nothing was sent: the request certainly did not run
-    Send, ///< the request may be partly sent
+    Connect, ///< nothing was sent: the request did not run
+    Send, ///< the request may have been sent partly
     Receive, ///< the request was sent; it may have run
 };
 
-/// A failed call: the stage it broke at and why.
+/// A failed call: the stage and the reason of the failure.
 struct CallError {
     CallStage stage = CallStage::Connect;
     std::string message;
-    bool reused = false; ///< the request went out on a kept connection
+    bool reused = false; ///< the request was sent on a kept connection
 };
 
 template <typename T> using CallResult = std::variant<T, CallError>;
 
-/// Beast's string_view of a standard one.
+/// Converts a standard string_view to Beast's type.
 inline boost::beast::string_view beastView(std::string_view s)
 {
     return {s.data(), s.size()};
 }
 
-/// A header field of a message, or empty when it has none.
-template <typename Fields> std::string headerOf(const Fields &fields, std::string_view name)
+/// Returns the value of a header field, or an empty string if it is absent.
+template <typename Fields> std::string headerValue(const Fields &fields, std::string_view name)
 {
     auto it = fields.find(beastView(name));
     return it == fields.end() ? std::string() : std::string(it->value());
 }
 
-/// How long a peer wants no more requests, by the status and the Retry-After
-/// header of its answer: a request turned away (429, 503) with a number of
-/// seconds, which may have a fraction. No longer than an hour.
+/// Returns how long a peer asks not to receive further requests: the Retry-After
+/// header, in seconds with an optional fraction, of a 429 or 503 response. At most
+/// one hour. Nothing for other statuses or values.
 std::optional<Millis> backOffAskedFor(unsigned status, std::string_view retryAfter);
 
-/// A request with a JSON body and the given headers.
+/// Builds an HTTP/1.1 request. The content type of a non-empty body is application/json unless the headers set another one.
 Request makeRequest(std::string_view method, std::string_view target, std::string body = {}, const Headers &headers = {});
 
 } // namespace yucca::http
--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -17,31 +17,31 @@
 
 using tcp = asio::ip::tcp;
 
-constexpr Millis keptLifetime{4000}; ///< where a peer states no timeout: shorter than the usual 5 s
-constexpr double keptShare = 0.7; ///< of the idle timeout that a peer states: the rest covers a request on its way
-constexpr Millis closeIdleEvery{1000};
+constexpr Millis defaultIdleLifetime{4000}; ///< for peers that state no idle timeout: shorter than the usual 5 s
+constexpr double idleTimeoutShare = 0.7; ///< of the idle timeout that a peer states; the remainder covers a request in transit
+constexpr Millis closeIdleInterval{1000};
 constexpr std::size_t responseHeaderLimit = 64 * 1024;
 
-// True when a kept connection is still quiet: no end of stream, and no
-// stray bytes of an answer that nobody waits for.
-bool stillQuiet(tcp::socket &socket)
+// True if an idle connection can carry a request: the peer has not closed it, and
+// there are no unread bytes of a response that no call is waiting for.
+bool isReusable(tcp::socket &socket)
 {
     char byte;
     const auto n = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-// How long a connection may stay idle after this response.
-Millis keptFor(const std::string &keepAlive)
+// Returns how long a connection may stay idle, given the Keep-Alive header of its last response.
+Millis idleLifetime(const std::string &keepAlive)
 {
     constexpr std::string_view timeoutKey = "timeout=";
     const auto at = keepAlive.find(timeoutKey);
     if (at == std::string::npos) {
-        return keptLifetime;
+        return defaultIdleLifetime;
     }
     const auto value = std::string_view(keepAlive).substr(at + timeoutKey.size());
     const auto seconds = text::number(value.substr(0, value.find_first_not_of("0123456789")));
-    return seconds ? Millis(static_cast<int64_t>(keptShare * 1000.0 * static_cast<double>(*seconds))) : keptLifetime;
+    return seconds ? Millis(static_cast<int64_t>(idleTimeoutShare * 1000.0 * static_cast<double>(*seconds))) : defaultIdleLifetime;
 }
 
 } // namespace
@@ -86,7 +86,7 @@
         m_options.cancellation->m_action = nullptr;
     }
     if (m_connection) {
-        m_connection->stream.close(); // a write may still hold the connection
+        m_connection->stream.close(); // closed explicitly, as a pending write may still own the connection
     }
 }
 
@@ -94,7 +94,7 @@
 {
     m_parser.emplace();
     m_parser->header_limit(responseHeaderLimit);
-    m_parser->body_limit(std::numeric_limits<uint64_t>::max()); // Beast 1.74 takes "none" for zero
+    m_parser->body_limit(std::numeric_limits<uint64_t>::max()); // Beast 1.74 treats "none" as zero
 }
 
 unsigned Response::status() const
@@ -104,7 +104,7 @@
 
 std::string Response::header(std::string_view name) const
 {
-    return headerOf(m_parser->get(), name);
+    return headerValue(m_parser->get(), name);
 }
 
 Headers Response::headers() const
@@ -128,22 +128,22 @@
     }
 }
 
-// Hands a connection whose response is complete back for the next request:
-// not one whose request the peer has yet to read, as it would take the next
-// one for the rest of it.
-void Response::finish()
+// Returns the connection of a complete response to the pool, or closes it. A
+// connection whose request is not fully written is closed: the peer would read
+// the next request as the remainder of this one.
+void Response::releaseConnection()
 {
-    const bool clean = m_keepable && m_connection && !m_connection->writing && m_connection->buffer.size() == 0;
+    const bool clean = m_reusable && m_connection && !m_connection->writing && m_connection->buffer.size() == 0;
     if (clean && m_parser->get().keep_alive()) {
-        m_connection->closeAt = Clock::now() + keptFor(header("keep-alive"));
-        m_client.keep(m_peer, std::move(m_connection), m_options.mostKept);
+        m_connection->closeDeadline = Clock::now() + idleLifetime(header("keep-alive"));
+        m_client.addIdle(m_peer, std::move(m_connection), m_options.mostKept);
     } else if (m_connection) {
         m_connection->stream.close();
     }
     m_connection.reset();
 }
 
-// Reads the head of the next final response; interim ones (1xx) are passed over.
+// Reads the head of the next final response; skips interim (1xx) responses.
 Task<std::optional<CallError>> Response::readHead()
 {
     boost::system::error_code ec;
@@ -162,33 +162,33 @@
 
 Task<std::optional<CallError>> Response::skipToNext()
 {
-    m_keepable = false;
+    m_reusable = false;
     for (bool more = true; more;) {
-        auto piece = co_await readPiece();
-        if (auto *error = std::get_if<CallError>(&piece)) {
+        auto part = co_await readSome();
+        if (auto *error = std::get_if<CallError>(&part)) {
             co_return *error;
         }
-        more = !std::get<std::string>(piece).empty();
+        more = !std::get<std::string>(part).empty();
     }
     startParser();
     co_return co_await readHead();
 }
 
-Task<CallResult<std::string>> Response::readPiece()
+Task<CallResult<std::string>> Response::readSome()
 {
     while (m_connection && !m_parser->is_done()) {
         auto &body = m_parser->get().body();
-        body.data = m_piece.data();
-        body.size = m_piece.size();
+        body.data = m_bodyBuffer.data();
+        body.size = m_bodyBuffer.size();
         body.more = true;
         boost::system::error_code ec;
         co_await bhttp::async_read_some(m_connection->stream, m_connection->buffer, *m_parser, asio::redirect_error(asio::use_awaitable, ec));
         if (ec == bhttp::error::need_buffer) {
             ec = {};
         }
-        const std::size_t got = m_piece.size() - m_parser->get().body().size;
+        const std::size_t got = m_bodyBuffer.size() - m_parser->get().body().size;
         if (got > 0) {
-            co_return std::string(m_piece.data(), got); // bytes first, then the error on the next read
+            co_return std::string(m_bodyBuffer.data(), got); // an error is reported by the next read
         }
         if (ec) {
             m_connection->stream.close();
@@ -204,46 +204,46 @@
 
 Task<CallResult<std::string>> Response::read()
 {
-    auto piece = co_await readPiece();
-    const auto *bytes = std::get_if<std::string>(&piece);
+    auto part = co_await readSome();
+    const auto *bytes = std::get_if<std::string>(&part);
     if (bytes && bytes->empty()) {
-        finish();
+        releaseConnection();
     }
-    co_return std::move(piece);
+    co_return std::move(part);
 }
 
-std::shared_ptr<ClientConnection> Client::takeKept(const asio::any_io_executor &ex, const Address &to)
+std::shared_ptr<ClientConnection> Client::takeIdle(const asio::any_io_executor &ex, const Address &to)
 {
     std::lock_guard lock(m_mutex);
-    auto it = m_kept.find({&asio::query(ex, asio::execution::context), to});
-    if (it == m_kept.end()) {
+    auto it = m_idle.find({&asio::query(ex, asio::execution::context), to});
+    if (it == m_idle.end()) {
         return nullptr;
     }
-    auto &kept = it->second;
-    while (!kept.empty()) {
-        auto c = std::move(kept.back());
-        kept.pop_back();
-        if (Clock::now() < c->closeAt && stillQuiet(c->stream.socket())) {
+    auto &idle = it->second;
+    while (!idle.empty()) {
+        auto c = std::move(idle.back());
+        idle.pop_back();
+        if (Clock::now() < c->closeDeadline && isReusable(c->stream.socket())) {
             return c;
         }
     }
     return nullptr;
 }
 
-void Client::keep(const Address &peer, std::shared_ptr<ClientConnection> connection, std::size_t most)
+void Client::addIdle(const Address &peer, std::shared_ptr<ClientConnection> connection, std::size_t maxIdle)
 {
     connection->stream.expires_never();
     auto &loop = asio::query(connection->stream.get_executor(), asio::execution::context);
     bool closeDue = false;
     {
         std::lock_guard lock(m_mutex);
-        auto &kept = m_kept[{&loop, peer}];
-        kept.push_back(std::move(connection));
-        if (kept.size() > most) {
-            kept.pop_front();
+        auto &idle = m_idle[{&loop, peer}];
+        idle.push_back(std::move(connection));
+        if (idle.size() > maxIdle) {
+            idle.pop_front();
         }
         closeDue = Clock::now() >= m_nextCloseIdle;
-        m_nextCloseIdle = closeDue ? Clock::now() + closeIdleEvery : m_nextCloseIdle;
+        m_nextCloseIdle = closeDue ? Clock::now() + closeIdleInterval : m_nextCloseIdle;
     }
     if (closeDue) {
         closeIdle(loop, Clock::now());
@@ -253,30 +253,30 @@
 void Client::closeIdle(asio::execution_context &loop, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
-    for (auto it = m_kept.begin(); it != m_kept.end();) {
-        auto &[key, kept] = *it;
-        // Another loop's sockets are that loop's to close.
+    for (auto it = m_idle.begin(); it != m_idle.end();) {
+        auto &[key, idle] = *it;
+        // Sockets of another loop may only be closed on that loop's thread.
         if (key.first == &loop) {
-            std::erase_if(kept, [now](const auto &c) {
-                return now >= c->closeAt;
+            std::erase_if(idle, [now](const auto &c) {
+                return now >= c->closeDeadline;
             });
         }
-        it = kept.empty() ? m_kept.erase(it) : std::next(it);
+        it = idle.empty() ? m_idle.erase(it) : std::next(it);
     }
 }
 
 void Client::closeKept(asio::execution_context &loop, const Address &peer)
 {
     std::lock_guard lock(m_mutex);
-    m_kept.erase({&loop, peer});
+    m_idle.erase({&loop, peer});
 }
 
 std::size_t Client::keptConnections()
 {
     std::lock_guard lock(m_mutex);
     std::size_t n = 0;
-    for (const auto &[key, kept] : m_kept) {
-        n += kept.size();
+    for (const auto &[key, idle] : m_idle) {
+        n += idle.size();
     }
     return n;
 }
@@ -299,8 +299,8 @@
     co_return std::nullopt;
 }
 
-// Writes the request and reads the response's head on one connection, both
-// at once: a peer may answer before it has read the request whole.
+// Writes the request and reads the head of the response concurrently, since a
+// peer may respond before it has read the whole request.
 Task<CallResult<std::unique_ptr<Response>>> Client::exchange(std::unique_ptr<Response> response, Request request)
 {
     auto c = response->m_connection;
@@ -308,7 +308,7 @@
     c->request = std::move(request);
     c->writing = true;
     bhttp::async_write(c->stream, c->request, [c](const boost::system::error_code &ec, std::size_t) {
-        c->writing = ec.failed(); // a request that was cut short leaves the connection unusable
+        c->writing = ec.failed(); // a truncated request leaves the connection unusable
     });
     const auto failed = co_await response->readHead();
     if (failed) {
@@ -327,9 +327,9 @@
     if (options.cancellation && options.cancellation->fired()) {
         co_return CallError{CallStage::Connect, "cancelled"};
     }
-    auto kept = options.reuse == Reuse::Never ? nullptr : takeKept(ex, to);
-    if (kept) {
-        auto response = std::make_unique<Response>(*this, to, std::move(kept), options);
+    auto idle = options.reuse == Reuse::Never ? nullptr : takeIdle(ex, to);
+    if (idle) {
+        auto response = std::make_unique<Response>(*this, to, std::move(idle), options);
         response->m_reused = true;
         if (options.reuse == Reuse::Kept) {
             auto result = co_await exchange(std::move(response), std::move(request));
@@ -341,7 +341,7 @@
         if (std::holds_alternative<std::unique_ptr<Response>>(result) || cancelled || Clock::now() >= options.deadline) {
             co_return std::move(result);
         }
-        // The kept connection went stale: once more on a new one.
+        // The kept connection was stale: send the request again on a new one.
     }
     auto response = std::make_unique<Response>(*this, to, std::make_shared<ClientConnection>(ex), options);
     auto failed = co_await connect(*response->m_connection, to, options);
@@ -362,11 +362,11 @@
     Reply reply;
     reply.status = response.status();
     for (;;) {
-        auto piece = co_await response.read();
-        if (auto *err = std::get_if<CallError>(&piece)) {
+        auto part = co_await response.read();
+        if (auto *err = std::get_if<CallError>(&part)) {
             co_return *err;
         }
-        const auto &bytes = std::get<std::string>(piece);
+        const auto &bytes = std::get<std::string>(part);
         if (bytes.empty()) {
             break;
         }
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -1,5 +1,5 @@
-// An asynchronous HTTP/1.1 client with kept connections, and the response
-// of a call as it arrives.
+// An asynchronous HTTP/1.1 client with a pool of idle connections, and a response
+// type that streams the body as it arrives.
 #pragma once
 
 #include "http.h"
@@ -20,28 +20,29 @@
 namespace yucca::http
 {
 
-/// A whole response as the client got it.
+/// A complete response.
 struct Reply {
     unsigned status = 0;
     std::string body;
     Headers headers;
-    /// A header, or empty.
+    /// Returns a header by its case-insensitive name; empty if absent.
     std::string header(std::string_view name) const;
 };
 
-/// Which connection a request goes out on. A kept connection can be closed
-/// by its peer while a request is on its way; then nobody can tell whether
-/// that request ran.
+/// Which connection a request is sent on. The peer may close a kept (idle)
+/// connection while a request is in transit; it is then unknown whether the
+/// request ran.
 enum class Reuse {
-    Never, ///< a new connection
-    Kept, ///< a kept one when there is one; its failure is the call's
-    KeptOrAgain, ///< the same, but sent once more on a new one when the kept one fails: idempotent requests only
+    Never, ///< always a new connection
+    Kept, ///< a kept connection if there is one; its failure fails the call
+    KeptOrAgain, ///< like Kept, but if the kept connection fails, the request is resent once on a new one: for idempotent requests only
 };
 
-/// Lets the owner of a call end it early, from the same event loop.
+/// Lets the owner of a call abort it, from the event loop that the call runs on.
 class Cancellation
 {
 public:
+    /// Closes the call's connection, and makes later calls with this object fail at once.
     void fire();
     bool fired() const
     {
@@ -55,15 +56,16 @@
     bool m_fired = false;
 };
 
-/// How one call is made.
+/// Options of one call.
 struct CallOptions {
     Clock::time_point deadline;
     Reuse reuse = Reuse::Never;
     Cancellation *cancellation = nullptr; ///< must outlive the call and its Response
-    Millis connectTimeout{1000}; ///< a peer that does not answer a SYN is passed by
-    std::size_t mostKept = 32; ///< connections kept to the peer
+    Millis connectTimeout{1000}; ///< bounds the wait for a peer that does not answer a SYN
+    std::size_t mostKept = 32; ///< maximum number of idle connections kept to the peer
 };
 
+/// A client connection, in use or idle.
 struct ClientConnection {
     explicit ClientConnection(const asio::any_io_executor &ex)
         : stream(ex)
@@ -71,16 +73,16 @@
     }
     boost::beast::tcp_stream stream;
     boost::beast::flat_buffer buffer;
-    Request request; ///< the one being sent; lives here, as its write may outlast the call
-    bool writing = false; ///< a peer may answer before it has read the request whole
-    Clock::time_point closeAt; ///< unless used again, before the peer closes it
+    Request request; ///< the request being sent; stored here because its write may outlast the call
+    bool writing = false; ///< the write is in progress or failed; a peer may respond before it has read the whole request
+    Clock::time_point closeDeadline; ///< when an idle connection must be closed: before the peer closes it
 };
 
 class Client;
 
-/// A response being received: its head, then its body piece by piece.
-/// Destroyed before its end, it closes the connection, which cancels the
-/// request at engines that watch for that.
+/// A response being received: first its head, then its body in parts.
+/// Destroying it before its end closes the connection; engines that detect
+/// this cancel the request.
 class Response
 {
 public:
@@ -91,38 +93,37 @@
 
     unsigned status() const;
     std::string header(std::string_view name) const;
-    /// All header fields.
     Headers headers() const;
-    /// The fields that go on to another connection.
+    /// All header fields except the hop-by-hop ones.
     Headers endToEndHeaders() const;
-    /// The next piece of the body; empty at its complete end.
+    /// Returns the next part of the body; an empty string at its complete end; an error if the connection breaks.
     Task<CallResult<std::string>> read();
-    /// Reads this response to its end and then the head of the one behind
-    /// it: for an answer that was another request's, late on this connection.
-    /// The connection is not kept.
+    /// Reads this response to its end, then the head of the next one on the
+    /// connection: for a late response that belongs to an earlier request. The
+    /// connection is not kept. Returns an error if the connection breaks.
     Task<std::optional<CallError>> skipToNext();
 
-    /// Bounds the reads that follow.
+    /// Sets the deadline of all further reads.
     void setDeadline(Clock::time_point deadline);
 
 private:
     friend class Client;
     Task<std::optional<CallError>> readHead();
-    Task<CallResult<std::string>> readPiece();
+    Task<CallResult<std::string>> readSome();
     void startParser();
-    void finish();
+    void releaseConnection();
 
     Client &m_client;
     Address m_peer;
     std::shared_ptr<ClientConnection> m_connection;
     CallOptions m_options;
     bool m_reused = false;
-    bool m_keepable = true;
+    bool m_reusable = true;
     std::optional<bhttp::response_parser<bhttp::buffer_body>> m_parser;
-    std::array<char, 8192> m_piece;
+    std::array<char, 8192> m_bodyBuffer;
 };
 
-/// Counts the bytes of bodies and an estimate of heads sent and received.
+/// Counts bytes sent and received: bodies, plus an estimate for the heads.
 struct ByteCounter {
     std::atomic<uint64_t> sent{0};
     std::atomic<uint64_t> received{0};
@@ -132,40 +133,41 @@
     }
 };
 
-/// Sends requests and keeps finished connections for the next ones. Safe to
-/// use from several event loops: each keeps its own connections.
+/// Sends requests and keeps the connections of finished ones for reuse. Safe to
+/// use from several event loops: each loop has connections of its own.
 class Client
 {
 public:
-    /// Sends a request and reads the head of its response.
+    /// Sends a request and reads the head of its response. Fails with the stage at which the call broke.
     Task<CallResult<std::unique_ptr<Response>>> open(Address to, Request request, CallOptions options);
-    /// Sends a request and reads its whole response.
+    /// Sends a request and reads its complete response. Fails with the stage at which the call broke.
     Task<CallResult<Reply>> call(Address to, Request request, CallOptions options);
 
-    /// New connections opened since the start.
+    /// Number of connections opened since the start, including failed attempts.
     uint64_t connectionsOpened() const
     {
         return m_opened;
     }
-    /// Closes an event loop's connections that have been idle for too long:
-    /// also those to engines that have gone and will not be called again.
-    /// From that loop's thread; done now and then by itself.
+    /// Closes the connections of an event loop that have been idle for too long,
+    /// including those to engines that no longer exist. Must be called on the
+    /// loop's thread; the client also calls it itself, at most once per second.
     void closeIdle(asio::execution_context &loop, Clock::time_point now);
+    /// Number of idle connections over all event loops and peers.
     std::size_t keptConnections();
-    /// Closes an event loop's kept connections to a peer; from that loop's thread.
+    /// Closes all idle connections of an event loop to a peer. Must be called on the loop's thread.
     void closeKept(asio::execution_context &loop, const Address &peer);
 
 private:
     friend class Response;
     using PoolKey = std::pair<asio::execution_context *, Address>;
 
-    std::shared_ptr<ClientConnection> takeKept(const asio::any_io_executor &ex, const Address &to);
-    void keep(const Address &peer, std::shared_ptr<ClientConnection> connection, std::size_t most);
+    std::shared_ptr<ClientConnection> takeIdle(const asio::any_io_executor &ex, const Address &to);
+    void addIdle(const Address &peer, std::shared_ptr<ClientConnection> connection, std::size_t maxIdle);
     Task<std::optional<CallError>> connect(ClientConnection &c, Address to, CallOptions options);
     Task<CallResult<std::unique_ptr<Response>>> exchange(std::unique_ptr<Response> response, Request request);
 
     std::mutex m_mutex;
-    std::map<PoolKey, std::deque<std::shared_ptr<ClientConnection>>> m_kept;
+    std::map<PoolKey, std::deque<std::shared_ptr<ClientConnection>>> m_idle;
     Clock::time_point m_nextCloseIdle{};
     std::atomic<uint64_t> m_opened{0};
 };
--- a/src/http_exchange.cpp
+++ b/src/http_exchange.cpp
@@ -15,7 +15,7 @@
         fields.set(bhttp::field::content_type, beastView(contentType));
     }
     for (const auto &[name, value] : headers) {
-        fields.insert(name, value); // a repeated field stays repeated, in its order
+        fields.insert(name, value); // keeps repeated fields and their order
     }
 }
 
@@ -38,8 +38,8 @@
 std::string Exchange::query(std::string_view key, std::string fallback) const
 {
     std::string_view target(m_request.target().data(), m_request.target().size());
-    const auto mark = target.find('?');
-    std::string_view rest = mark == std::string_view::npos ? std::string_view{} : target.substr(mark + 1);
+    const auto queryStart = target.find('?');
+    std::string_view rest = queryStart == std::string_view::npos ? std::string_view{} : target.substr(queryStart + 1);
     while (!rest.empty()) {
         const auto amp = rest.find('&');
         const auto pair = rest.substr(0, amp);
@@ -52,7 +52,7 @@
     return fallback;
 }
 
-void Exchange::noteCallerGone()
+void Exchange::markCallerGone()
 {
     if (m_callerGone) {
         return;
@@ -63,12 +63,12 @@
     }
 }
 
-// Ends a write: the clock stops, and a caller that did not take it has gone.
-void Exchange::written(const boost::system::error_code &ec)
+// Completes a write: stops the write timeout; a failed write means that the caller has disconnected.
+void Exchange::finishWrite(const boost::system::error_code &ec)
 {
     m_stream.expires_never();
     if (ec) {
-        noteCallerGone();
+        markCallerGone();
     }
 }
 
@@ -83,7 +83,7 @@
     boost::system::error_code ec;
     m_stream.expires_after(m_writeTimeout);
     co_await bhttp::async_write(m_stream, res, asio::redirect_error(asio::use_awaitable, ec));
-    written(ec);
+    finishWrite(ec);
 }
 
 Task<bool> Exchange::beginStream(unsigned status, std::string contentType, Headers headers)
@@ -97,7 +97,7 @@
     boost::system::error_code ec;
     m_stream.expires_after(m_writeTimeout);
     co_await bhttp::async_write_header(m_stream, serializer, asio::redirect_error(asio::use_awaitable, ec));
-    written(ec);
+    finishWrite(ec);
     co_return !m_callerGone;
 }
 
@@ -110,7 +110,7 @@
     boost::system::error_code ec;
     m_stream.expires_after(m_writeTimeout);
     co_await asio::async_write(m_stream, bhttp::make_chunk(body), asio::redirect_error(asio::use_awaitable, ec));
-    written(ec);
+    finishWrite(ec);
     co_return !m_callerGone;
 }
 
@@ -122,7 +122,7 @@
     boost::system::error_code ec;
     m_stream.expires_after(m_writeTimeout);
     co_await asio::async_write(m_stream, bhttp::make_chunk_last(), asio::redirect_error(asio::use_awaitable, ec));
-    written(ec);
+    finishWrite(ec);
 }
 
 void Exchange::drop()
--- a/src/http_exchange.h
+++ b/src/http_exchange.h
@@ -1,4 +1,4 @@
-// One request on a server connection, and the means to answer it.
+// One request on a server connection and its response.
 #pragma once
 
 #include "http.h"
@@ -15,8 +15,8 @@
 
 using tcp = asio::ip::tcp;
 
-/// One request on a server connection and the means to answer it, whole
-/// or as a chunked stream.
+/// One request on a server connection, with functions to send the response
+/// either at once or as a chunked stream.
 class Exchange
 {
 public:
@@ -26,38 +26,39 @@
     {
         return m_request;
     }
-    /// The path of the target without its query.
+    /// The path of the request target, without the query.
     std::string path() const;
-    /// A query parameter of the target, or the fallback.
+    /// A query parameter of the request target, not percent-decoded; the fallback if absent.
     std::string query(std::string_view key, std::string fallback = {}) const;
-    /// A request header, or empty.
+    /// A request header; empty if absent.
     std::string header(std::string_view name) const
     {
-        return headerOf(m_request, name);
+        return headerValue(m_request, name);
     }
 
-    /// Answers the whole response at once. An empty content type sends none
-    /// but what the headers hold.
+    /// Sends a complete response. With an empty content type, only the given
+    /// headers can set one.
     Task<void> reply(unsigned status, std::string body, Headers headers = {}, std::string contentType = "application/json");
-    /// Starts a chunked response; then sendChunk() and endStream(). False when the caller has gone.
+    /// Starts a chunked response, to be followed by sendChunk() and endStream(). Returns false if the caller has disconnected.
     Task<bool> beginStream(unsigned status, std::string contentType, Headers headers = {});
-    /// Sends one chunk; false when the caller has gone.
+    /// Sends one chunk; does nothing for empty data. Returns false if the caller has disconnected.
     Task<bool> sendChunk(std::string data);
-    /// Ends a chunked response as complete.
+    /// Sends the last chunk, which marks the response as complete.
     Task<void> endStream();
-    /// Closes the connection, so that what was sent does not look complete.
+    /// Shuts the connection down without completing the response, so that the caller sees it as truncated.
     void drop();
 
-    /// True once anything of an answer was handed to the connection.
+    /// True once any part of a response was passed to the connection.
     bool answered() const
     {
         return m_answered;
     }
+    /// True if the caller has disconnected or drop() was called.
     bool callerGone() const
     {
         return m_callerGone;
     }
-    /// Sets what to do when the caller closes its connection before the answer is complete.
+    /// Sets a function to call when the caller disconnects before the response is complete.
     void onCallerGone(std::function<void()> action)
     {
         m_onCallerGone = std::move(action);
@@ -65,8 +66,8 @@
 
 private:
     friend class Server;
-    void noteCallerGone();
-    void written(const boost::system::error_code &ec);
+    void markCallerGone();
+    void finishWrite(const boost::system::error_code &ec);
 
     boost::beast::tcp_stream &m_stream;
     const Request &m_request;
--- a/src/http_server.cpp
+++ b/src/http_server.cpp
@@ -14,17 +14,17 @@
 namespace
 {
 
-constexpr Millis idlePollInterval{10}; ///< how often a planned stop looks whether the server is idle
-constexpr std::size_t readBytes = 4096; ///< of the first read of a request: most heads fit
-constexpr Millis rejectGrace{500}; ///< for a rejected caller to read its answer
-constexpr std::size_t rejectReadBytes = 256 * 1024; ///< read on after a rejection, at the most
+constexpr Millis idlePollInterval{10}; ///< at which waitIdle() checks for requests in flight
+constexpr std::size_t readBufferBytes = 4096; ///< most request heads fit into one read of this size
+constexpr Millis rejectDrainTimeout{500}; ///< time for a rejected caller to read its response
+constexpr std::size_t maxRejectDrainBytes = 256 * 1024; ///< maximum number of bytes read and ignored after a rejection
 constexpr std::string_view continueHead = "HTTP/1.1 100 Continue\r\n\r\n";
 
-// Why a parsed head is no proper request, or null. Beast's parser is lenient
-// in what RFC 9112 (3.2, 6.1, 6.3) makes a reason to reject: a message whose
-// end two readers may see in different places would let one caller smuggle a
-// request past the checks inside another.
-const char *improperHead(const bhttp::request_parser<bhttp::string_body> &parser)
+// Returns why a parsed request head must be rejected, or null. Beast's parser
+// accepts heads that RFC 9112 (3.2, 6.1, 6.3) requires to reject. If two parsers
+// disagree on the end of a message, a caller can smuggle a request past the checks
+// inside the body of another one.
+const char *headViolation(const bhttp::request_parser<bhttp::string_body> &parser)
 {
     const auto &request = parser.get();
     if (request.count(bhttp::field::host) != 1 && request.version() >= 11) {
@@ -46,8 +46,8 @@
     return request.version() < 11 ? "a transfer coding in HTTP/1.0" : nullptr;
 }
 
-// True when the peer has closed its end: a peek finds the end of the stream
-// or a reset, and takes no byte of a pipelined request.
+// True if the peer has closed or reset the connection. Peeks, so that no byte of
+// a pipelined request is consumed.
 bool peerClosed(tcp::socket &socket)
 {
     char byte;
@@ -93,7 +93,7 @@
     return port;
 }
 
-// Accepts until stopped; each connection runs on the next event loop.
+// Accepts connections until stopped and assigns each to the next event loop.
 Task<void> Server::acceptLoop()
 {
     for (std::size_t next = 0; !m_stopping; ++next) {
@@ -105,7 +105,7 @@
             co_return;
         }
         if (ec) {
-            co_await sleepFor(Millis(20)); // out of descriptors: let some close
+            co_await sleepFor(Millis(20)); // likely out of file descriptors: wait until some are closed
             continue;
         }
         socket.set_option(tcp::no_delay(true), ec);
@@ -126,14 +126,14 @@
     m_limits = std::make_shared<const ServerLimits>(limits);
 }
 
-// Waits for a request and reads it; false when the connection is over.
+// Waits for a request and reads it. Returns false if the connection must be closed.
 Task<bool> Server::readRequest(Connection &c, Request &out)
 {
     const auto limits = m_limits.load();
     if (c.buffer.size() == 0) {
         c.stream.expires_after(limits->idleTimeout);
         boost::system::error_code ec;
-        auto into = c.buffer.prepare(readBytes);
+        auto into = c.buffer.prepare(readBufferBytes);
         const auto n = co_await c.stream.async_read_some(into, asio::redirect_error(asio::use_awaitable, ec));
         if (ec) {
             co_return false;
@@ -149,8 +149,8 @@
     co_return read;
 }
 
-// Reads the head and body of one request; a message that is no proper
-// request is rejected and ends the connection.
+// Reads the head and body of one request. Rejects an invalid message and returns
+// false, which closes the connection.
 Task<bool> Server::readMessage(Connection &c, const ServerLimits &limits, Request &out)
 {
     boost::system::error_code ec;
@@ -160,7 +160,7 @@
     parser.body_limit(limits.bodyBytes);
     co_await bhttp::async_read_header(c.stream, c.buffer, parser, asio::redirect_error(asio::use_awaitable, ec));
     if (!ec) {
-        if (const char *why = improperHead(parser)) {
+        if (const char *why = headViolation(parser)) {
             co_await rejectMessage(c, bhttp::status::bad_request, why);
             co_return false;
         }
@@ -188,9 +188,9 @@
     co_return false;
 }
 
-// Answers a message that cannot be taken and ends the connection: what
-// follows on it cannot be told apart from the message itself. Reads on for a
-// moment, since closing with unread bytes would reset the answer away.
+// Responds to an invalid message. The connection must then be closed, as the end of
+// the message is unknown. Reads and ignores further bytes for a limited time: closing
+// a socket with unread bytes sends a reset, which may destroy the response.
 Task<void> Server::rejectMessage(Connection &c, bhttp::status status, const char *why)
 {
     bhttp::response<bhttp::string_body> res{status, 11};
@@ -199,16 +199,16 @@
     res.body() = why;
     res.prepare_payload();
     boost::system::error_code ec;
-    c.stream.expires_after(rejectGrace);
+    c.stream.expires_after(rejectDrainTimeout);
     co_await bhttp::async_write(c.stream, res, asio::redirect_error(asio::use_awaitable, ec));
     c.stream.socket().shutdown(tcp::socket::shutdown_send, ec);
-    std::array<char, readBytes> ignored;
-    for (std::size_t n = 0; !ec && n < rejectReadBytes;) {
+    std::array<char, readBufferBytes> ignored;
+    for (std::size_t n = 0; !ec && n < maxRejectDrainBytes;) {
         n += co_await c.stream.async_read_some(asio::buffer(ignored), asio::redirect_error(asio::use_awaitable, ec));
     }
 }
 
-// Serves the requests of one connection, one after the other.
+// Serves the requests of one connection in sequence.
 Task<void> Server::serve(ConnectionPtr c)
 {
     Request request;
@@ -221,9 +221,9 @@
         if (!more) {
             break;
         }
-        const bool kept = co_await answer(c, request);
+        const bool keepOpen = co_await handleRequest(c, request);
         --m_inflight;
-        if (!kept) {
+        if (!keepOpen) {
             break;
         }
     }
@@ -232,22 +232,22 @@
     c->stream.close();
 }
 
-// Runs the handler for one request while watching for the caller to leave.
-// True when the connection may carry another request.
-Task<bool> Server::answer(ConnectionPtr c, const Request &request)
+// Runs the handler for one request and watches for a disconnect of the caller.
+// Returns true if the connection may carry another request.
+Task<bool> Server::handleRequest(ConnectionPtr c, const Request &request)
 {
     c->stream.expires_never();
-    const bool keepAlive = request.keep_alive() && !m_stopping && !m_leaving;
+    const bool keepAlive = request.keep_alive() && !m_stopping && !m_closeAfterResponse;
     Exchange exchange(c->stream, request, keepAlive, m_limits.load()->writeTimeout);
-    auto watched = std::make_shared<Exchange *>(&exchange);
-    watchCaller(c, watched);
+    auto exchangeRef = std::make_shared<Exchange *>(&exchange);
+    watchForDisconnect(c, exchangeRef);
     bool failed = false;
     try {
         co_await m_handler(exchange);
     } catch (const std::exception &) {
         failed = true;
     }
-    *watched = nullptr;
+    *exchangeRef = nullptr;
     if (failed && !exchange.answered()) {
         co_await exchange.reply(500, R"({"error":{"message":"internal error","type":"internal"}})");
     }
@@ -257,14 +257,14 @@
     co_return keepAlive && c->stream.socket().is_open();
 }
 
-// Tells the exchange when its caller closes the connection. Stops by itself
-// at pipelined bytes, which belong to the next request.
-void Server::watchCaller(ConnectionPtr c, std::shared_ptr<Exchange *> exchange)
+// Marks the exchange when its caller closes the connection. Ends silently when
+// bytes arrive, as they belong to the next, pipelined request.
+void Server::watchForDisconnect(ConnectionPtr c, std::shared_ptr<Exchange *> exchange)
 {
     auto &socket = c->stream.socket();
     socket.async_wait(tcp::socket::wait_read, [c, exchange](const boost::system::error_code &ec) {
         if (*exchange && (ec || peerClosed(c->stream.socket()))) {
-            (*exchange)->noteCallerGone();
+            (*exchange)->markCallerGone();
         }
     });
 }
--- a/src/http_server.h
+++ b/src/http_server.h
@@ -1,5 +1,5 @@
-// An asynchronous HTTP/1.1 server: one coroutine per connection, each on
-// the event loop of one traffic thread.
+// An asynchronous HTTP/1.1 server: one coroutine per connection, each on the
+// event loop of one traffic thread.
 #pragma once
 
 #include "http_exchange.h"
@@ -16,40 +16,42 @@
 namespace yucca::http
 {
 
+/// Handles one request; must respond through the Exchange. An exception before that becomes a 500 response.
 using Handler = std::function<Task<void>(Exchange &)>;
 
-/// Limits on what a caller may send and how long it may take.
+/// Limits on the size and duration of callers' requests.
 struct ServerLimits {
     std::size_t headerBytes = 64 * 1024;
     std::size_t bodyBytes = 16 * 1024 * 1024;
-    Millis headerTimeout{10000}; ///< from a request's first byte to its last
-    Millis idleTimeout{30000}; ///< between requests on a kept connection
-    Millis writeTimeout{30000}; ///< for one write to a caller that does not read
+    Millis headerTimeout{10000}; ///< from the first byte of a request to its last
+    Millis idleTimeout{30000}; ///< between two requests on a connection
+    Millis writeTimeout{30000}; ///< for one write to a caller that does not read its socket
     bool operator==(const ServerLimits &) const = default;
 };
 
-/// Accepts connections and runs the handler for each request. Counts
-/// requests in flight so that a planned stop can wait for them.
+/// Accepts connections and runs the handler for each request. Counts the
+/// requests in flight so that a graceful stop can wait for them.
 class Server
 {
 public:
-    /// Connections are spread over the event loops in turn.
+    /// Distributes connections over the event loops round robin. Port 0 selects a free port.
     Server(std::vector<asio::io_context *> loops, std::string host, uint16_t port, Handler handler, ServerLimits limits = {});
 
-    /// Binds and starts accepting; an error when the address is taken. Returns the port.
+    /// Binds and starts accepting. Returns the port, or an error: 400 for an invalid address, 503 if the server cannot listen on it.
     Result<uint16_t> start();
-    /// Puts other limits in force: for connections that are open, from their next request on.
+    /// Replaces the limits; open connections use them from their next request on.
     void setLimits(const ServerLimits &limits);
-    /// From now on each answer asks its caller to use another connection.
-    /// Requests are still taken; stopAccepting() follows.
+    /// From now on each response asks the caller to close its connection.
+    /// Requests are still accepted until stopAccepting().
     void askCallersToLeave()
     {
-        m_leaving = true;
+        m_closeAfterResponse = true;
     }
-    /// Stops accepting, closes idle connections; requests in flight go on.
+    /// Stops accepting connections and closes idle ones; requests in flight continue.
     void stopAccepting();
-    /// Waits until no request is in flight or the grace has passed; true when idle.
+    /// Waits until no request is in flight or the grace period has passed. Returns true if none is left.
     Task<bool> waitIdle(Millis grace);
+    /// Number of requests being read or handled.
     int64_t inflight() const
     {
         return m_inflight.load();
@@ -63,7 +65,7 @@
         }
         boost::beast::tcp_stream stream;
         boost::beast::flat_buffer buffer;
-        bool idle = true; ///< waiting for a request: may be closed by a stop
+        bool idle = true; ///< waiting for a request; stopAccepting() closes the connection
     };
     using ConnectionPtr = std::shared_ptr<Connection>;
 
@@ -72,8 +74,8 @@
     Task<bool> readRequest(Connection &c, Request &out);
     Task<bool> readMessage(Connection &c, const ServerLimits &limits, Request &out);
     Task<void> rejectMessage(Connection &c, bhttp::status status, const char *why);
-    Task<bool> answer(ConnectionPtr c, const Request &request);
-    static void watchCaller(ConnectionPtr c, std::shared_ptr<Exchange *> exchange);
+    Task<bool> handleRequest(ConnectionPtr c, const Request &request);
+    static void watchForDisconnect(ConnectionPtr c, std::shared_ptr<Exchange *> exchange);
 
     std::vector<asio::io_context *> m_loops;
     std::string m_host;
@@ -81,7 +83,7 @@
     Handler m_handler;
     std::atomic<std::shared_ptr<const ServerLimits>> m_limits;
     tcp::acceptor m_acceptor;
-    std::atomic<bool> m_leaving{false};
+    std::atomic<bool> m_closeAfterResponse{false};
     std::atomic<bool> m_stopping{false};
     std::atomic<int64_t> m_inflight{0};
     std::mutex m_mutex;
--- a/src/log.cpp
+++ b/src/log.cpp
@@ -74,17 +74,17 @@
 
 log4cxx::LoggerPtr logger()
 {
-    static log4cxx::LoggerPtr l = log4cxx::Logger::getLogger("yucca");
-    return l;
+    static log4cxx::LoggerPtr yuccaLogger = log4cxx::Logger::getLogger("yucca");
+    return yuccaLogger;
 }
 
 // Set once by init(), before other threads start.
-Output outputForm = Output::Text;
+Output outputFormat = Output::Text;
 std::string programName;
 
-// Writes whole lines to standard output, or leaves them out when the reader
-// of the pipe is behind: a write must never hold up traffic. A pipe that
-// polls as writable takes PIPE_BUF bytes at once.
+// Writes whole lines to standard output. Drops lines while the pipe is full, as a
+// blocked write would delay requests. A pipe that polls as writable accepts
+// PIPE_BUF bytes without blocking; longer lines are dropped.
 class PipeAppender : public log4cxx::AppenderSkeleton
 {
 public:
@@ -108,16 +108,16 @@
         pollfd out{STDOUT_FILENO, POLLOUT, 0};
         const bool writable = line.size() <= PIPE_BUF && ::poll(&out, 1, 0) == 1 && (out.revents & POLLOUT) != 0;
         if (!writable || ::write(STDOUT_FILENO, line.data(), line.size()) < 0) {
-            ++m_leftOut;
-        } else if (m_leftOut > 0) {
-            noteLeftOut();
+            ++m_droppedLines;
+        } else if (m_droppedLines > 0) {
+            reportDroppedLines();
         }
     }
 
 private:
-    void noteLeftOut();
+    void reportDroppedLines();
 
-    int64_t m_leftOut = 0;
+    int64_t m_droppedLines = 0;
 };
 
 log4cxx::LevelPtr levelOf(Level level)
@@ -135,8 +135,8 @@
     return log4cxx::Level::getError();
 }
 
-// Appends a JSON string; bytes outside printable ASCII are escaped, as what
-// callers send may be any bytes.
+// Appends a JSON string. Escapes bytes outside printable ASCII, since values from
+// callers may contain arbitrary bytes.
 void appendQuoted(std::string &out, std::string_view value)
 {
     constexpr std::string_view hex = "0123456789abcdef";
@@ -157,8 +157,8 @@
     out += '"';
 }
 
-// The head of a JSON line: when, which event, how grave, of which program.
-std::string jsonHead(const EventInfo &row)
+// Returns the common members of a JSON line: time, event, level and program.
+std::string jsonPrefix(const EventInfo &row)
 {
     using namespace std::chrono;
     static constexpr std::array<std::string_view, 4> levelNames{"debug", "info", "warn", "error"};
@@ -176,10 +176,10 @@
     LOG4CXX_LOG(logger(), levelOf(row.level), text);
 }
 
-void PipeAppender::noteLeftOut()
+void PipeAppender::reportDroppedLines()
 {
-    std::string line = jsonHead(info(Event::LinesLeftOut)) + ",\"lines\":" + std::to_string(m_leftOut) + "}\n";
-    m_leftOut = 0;
+    std::string line = jsonPrefix(info(Event::LinesLeftOut)) + ",\"lines\":" + std::to_string(m_droppedLines) + "}\n";
+    m_droppedLines = 0;
     [[maybe_unused]] const auto n = ::write(STDOUT_FILENO, line.data(), line.size());
 }
 
@@ -202,7 +202,7 @@
 
 void init(std::string_view program, std::string_view level, Output output)
 {
-    outputForm = output;
+    outputFormat = output;
     programName = program;
     auto root = log4cxx::Logger::getRootLogger();
     root->removeAllAppenders();
@@ -218,7 +218,7 @@
 void event(Event e, const std::string &detail)
 {
     Line line(e);
-    if (outputForm == Output::Json && !detail.empty()) {
+    if (outputFormat == Output::Json && !detail.empty()) {
         line.add("detail", detail);
     } else if (!detail.empty()) {
         line.text(detail);
@@ -237,8 +237,8 @@
         return;
     }
     const auto &row = info(m_event);
-    if (outputForm == Output::Json) {
-        emit(row, jsonHead(row) + m_fields + "}");
+    if (outputFormat == Output::Json) {
+        emit(row, jsonPrefix(row) + m_fields + "}");
     } else {
         emit(row, "E" + std::to_string(static_cast<int>(m_event)) + " " + std::string(row.name) + m_fields);
     }
@@ -256,7 +256,7 @@
     if (!m_enabled) {
         return *this;
     }
-    begin(key);
+    beginField(key);
     appendQuoted(m_fields, value);
     return *this;
 }
@@ -264,7 +264,7 @@
 Line &Line::add(std::string_view key, int64_t value)
 {
     if (m_enabled) {
-        begin(key);
+        beginField(key);
         m_fields += std::to_string(value);
     }
     return *this;
@@ -273,16 +273,16 @@
 Line &Line::add(std::string_view key, bool value)
 {
     if (m_enabled) {
-        begin(key);
+        beginField(key);
         m_fields += value ? "true" : "false";
     }
     return *this;
 }
 
-// Starts a field: its key and what stands between key and value.
-void Line::begin(std::string_view key)
+// Appends a field's key and the separators around it.
+void Line::beginField(std::string_view key)
 {
-    if (outputForm == Output::Json) {
+    if (outputFormat == Output::Json) {
         m_fields += ",\"";
         m_fields += key;
         m_fields += "\":";
--- a/src/log.h
+++ b/src/log.h
@@ -1,4 +1,4 @@
-// Logging: numbered events through log4cxx; the catalogue is docs/EVENTS.md.
+// Structured logging of numbered events through log4cxx. docs/EVENTS.md lists the events.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 namespace yucca::log
 {
 
-/// Every event a program logs. The number is stable; docs/EVENTS.md lists them.
+/// All events that the programs log. The numbers are stable and listed in docs/EVENTS.md.
 enum class Event {
     ProgramStarted = 1001,
     StopRequested = 1002,
@@ -70,25 +70,25 @@
     Level level;
 };
 
-/// The catalogue of all events.
+/// Returns the catalogue of all events.
 std::span<const EventInfo> events();
-/// The name and level of an event.
+/// Returns the catalogue row of an event.
 const EventInfo &info(Event e);
 
-/// How the lines are written.
+/// Format and destination of the log.
 enum class Output {
-    Text, ///< for people, on standard error: time, level, program, event, detail
-    Json, ///< for log pipelines, on standard output: one JSON object a line; lines that a full pipe cannot take are counted and left out
+    Text, ///< for people, on standard error: time, level, program, event and detail
+    Json, ///< for log pipelines, on standard output: one JSON object per line; lines that do not fit into the pipe are dropped and counted
 };
 
-/// Sets up log4cxx for a program: one line per event.
+/// Configures log4cxx for a program. An unknown level means "info". Must be called before other threads start.
 void init(std::string_view program, std::string_view level, Output output = Output::Text);
 
-/// Logs an event with its number, name and a key=value detail string.
+/// Logs an event with its number, its name and a detail string of key=value pairs.
 void event(Event e, const std::string &detail = {});
 
-/// One event with typed fields, logged at the end of its scope. Costs next
-/// to nothing when the event's level is off.
+/// A log line for one event with typed fields, written by the destructor. Cheap
+/// if the level of the event is disabled.
 class Line
 {
 public:
@@ -97,6 +97,7 @@
     Line(const Line &) = delete;
     Line &operator=(const Line &) = delete;
 
+    /// Appends a field; returns the line for chaining.
     Line &add(std::string_view key, std::string_view value);
     Line &add(std::string_view key, const char *value)
     {
@@ -108,11 +109,11 @@
 private:
     friend void event(Event e, const std::string &detail);
     void text(const std::string &detail);
-    void begin(std::string_view key);
+    void beginField(std::string_view key);
 
     Event m_event;
     bool m_enabled;
-    std::string m_fields; ///< JSON members, each with a comma before it, or key=value pairs
+    std::string m_fields; ///< JSON members with leading commas, or key=value pairs with leading spaces
 };
 
 } // namespace yucca::log
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -1,4 +1,4 @@
-// Figures for the status page: latency quantiles.
+// Latency statistics for the status page.
 #pragma once
 
 #include <boost/accumulators/accumulators.hpp>
@@ -20,7 +20,7 @@
 
 inline constexpr std::array<double, 3> latencyQuantiles{0.5, 0.95, 0.99};
 
-/// Latency figures in milliseconds. Thread-safe.
+/// Count, mean, maximum and estimated quantiles of latencies in milliseconds. Thread-safe.
 class LatencyStats
 {
 public:
@@ -33,6 +33,7 @@
         std::lock_guard lock(m_mutex);
         m_acc(ms);
     }
+    /// The statistics as a JSON object; only the count if there are no samples.
     nlohmann::json toJson() const
     {
         std::lock_guard lock(m_mutex);
--- a/src/router_dialect.cpp
+++ b/src/router_dialect.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-/// What a caller is told of each rejection, for people.
-constexpr NameTable<entry::Rejection, 18> explanations{{
+/// Message for callers about each rejection.
+constexpr NameTable<entry::Rejection, 18> rejectionMessages{{
     {entry::Rejection::NotLoaded, "the catalogue is not loaded yet"},
     {entry::Rejection::OutOfDate, "the router does not know the workspace, and has not heard of the store for a while"},
     {entry::Rejection::NoRoute, "the workspace has no class of work of this kind"},
@@ -34,9 +34,10 @@
     {entry::Rejection::BackingOff, "the endpoints have asked for no more requests for a while"},
 }};
 
-// The status of a rejection on this interface: workspaces are looked up, not
-// authenticated, and a lost answer is one thing however it was lost.
-unsigned ownStatusOf(entry::Rejection why)
+// HTTP status of a rejection on this interface. Two differ from entry::statusOf():
+// an unknown workspace is 404, as workspaces are looked up and not authenticated,
+// and a timeout has the status of a lost answer.
+unsigned rejectionStatus(entry::Rejection why)
 {
     switch (why) {
     case entry::Rejection::UnknownKey:
@@ -48,15 +49,15 @@
     }
 }
 
-// True when an endpoint's answer says that it did not run the request.
-bool notExecuted(unsigned status, const std::string &flag)
+// True if an endpoint's response states that the request was not run.
+bool notExecuted(unsigned status, const std::string &notExecutedValue)
 {
-    return flag == "true" && (status == 503 || status == 429 || status == 421);
+    return notExecutedValue == "true" && (status == 503 || status == 429 || status == 421);
 }
 
-// Fills in what a chat's body says. Its turns return to the engine that has
-// read the conversation.
-std::optional<entry::Rejection> readChat(const http::Exchange &ex, entry::RequestProfile &p, bool &streamed)
+// Parses the body of a chat request. The affinity key sends the turns of a
+// conversation to the engine that holds its prompt prefix.
+std::optional<entry::Rejection> parseChat(const http::Exchange &ex, entry::RequestProfile &p, bool &streamed)
 {
     const json body = json::parse(ex.request().body(), nullptr, false);
     if (!body.is_object() || !body.contains("messages") || !prefix::wellFormed(body["messages"])) {
@@ -67,12 +68,12 @@
     return std::nullopt;
 }
 
-// Fills in what identifies an operation. Its repeats go to the same endpoint.
-void readOperation(const http::Exchange &ex, entry::RequestProfile &p)
+// Sets the idempotency key of an operation. Repeats have the same affinity, so they go to the same endpoint.
+void parseOperation(const http::Exchange &ex, entry::RequestProfile &p)
 {
     p.idempotencyKey = ex.header("idempotency-key");
-    const uint64_t spread = ring::hash(p.idempotencyKey.empty() ? p.id : p.idempotencyKey);
-    p.affinity = {spread, spread};
+    const uint64_t keyHash = ring::hash(p.idempotencyKey.empty() ? p.id : p.idempotencyKey);
+    p.affinity = {keyHash, keyHash};
 }
 
 } // namespace
@@ -101,27 +102,27 @@
     p.limits = workspace->limits;
     p.id = requestId(ex);
     if (p.id.empty()) {
-        p.id = m_routerId + "-" + std::to_string(++m_requests);
+        p.id = m_routerId + "-" + std::to_string(++m_generatedIds);
     }
     p.contentHash = ring::hash(ex.path() + "\n" + ex.request().body());
     const bool isChat = ex.path() == chatPath;
     bool streamed = false;
     if (isChat) {
-        const auto problem = readChat(ex, p, streamed);
+        const auto problem = parseChat(ex, p, streamed);
         if (problem) {
             return *problem;
         }
     } else {
-        readOperation(ex, p);
+        parseOperation(ex, p);
     }
     p.route = configuration->match(workspace->workClass, isChat ? (streamed ? streamedChats : wholeChats) : serviceCalls);
     if (!p.route) {
         return entry::Rejection::NoRoute;
     }
     p.priority = p.route->priority;
-    const int64_t longest = p.route->timeout.count();
-    const int64_t patience = text::number(ex.header("x-deadline-ms")).value_or(longest);
-    p.deadline = now + Millis(std::clamp<int64_t>(patience, 1, longest));
+    const int64_t routeTimeoutMs = p.route->timeout.count();
+    const int64_t callerTimeoutMs = text::number(ex.header("x-deadline-ms")).value_or(routeTimeoutMs);
+    p.deadline = now + Millis(std::clamp<int64_t>(callerTimeoutMs, 1, routeTimeoutMs));
     p.answerBy = p.deadline;
     return p;
 }
@@ -147,7 +148,7 @@
     entry::AnswerHead head;
     head.status = response.status();
     const std::string id = response.header("x-request-id");
-    // Plain services need not repeat the id: each has a connection to itself.
+    // Plain services may omit the id: each request has a connection of its own.
     head.ownAnswer = id == profile.id || (id.empty() && profile.route->kind == entry::RequestKind::NonIdempotent);
     head.notExecuted = notExecuted(head.status, response.header("x-not-executed"));
     head.retryAfter = http::backOffAskedFor(head.status, response.header("Retry-After"));
@@ -168,15 +169,15 @@
     return {{"Content-Type", "application/json"}, {"x-idempotent-replay", "true"}, {"x-request-id", profile.id}};
 }
 
-entry::RejectionAnswer OwnDialect::rejection(entry::Rejection why, Millis comeBack) const
+entry::RejectionAnswer OwnDialect::rejection(entry::Rejection why, Millis retryAfter) const
 {
     const auto outcome = nameOf(outcomeNames, entry::outcomeOf(why));
-    const int64_t seconds = std::max<int64_t>(m_retryAfterS, std::chrono::ceil<std::chrono::seconds>(comeBack).count());
+    const int64_t seconds = std::max<int64_t>(m_retryAfterS, std::chrono::ceil<std::chrono::seconds>(retryAfter).count());
     const char *type = entry::outcomeOf(why) == Outcome::Unknown ? "outcome_unknown" : why == entry::Rejection::Malformed ? "invalid_request_error" : "not_run";
-    const json error{{"message", nameOf(explanations, why)}, {"type", type}};
+    const json error{{"message", nameOf(rejectionMessages, why)}, {"type", type}};
     const json body{{"error", error}, {"outcome", outcome}, {"retry_after_s", seconds}};
     http::Headers headers{{"Retry-After", std::to_string(seconds)}, {"x-outcome", std::string(outcome)}};
-    return {ownStatusOf(why), std::move(headers), body.dump(), "application/json"};
+    return {rejectionStatus(why), std::move(headers), body.dump(), "application/json"};
 }
 
 } // namespace yucca::router
--- a/src/router_main.cpp
+++ b/src/router_main.cpp
@@ -1,6 +1,6 @@
-// yucca-router: the entry router. Routes each conversation to an engine
-// that likely holds its prompt prefix, within a bound on every engine's
-// load; runs non-idempotent service calls at most once.
+// yucca-router: the entry router. Routes each conversation to an engine that
+// likely holds its prompt prefix, within a load bound on every engine. Runs
+// non-idempotent service calls at most once.
 #include "cli.h"
 #include "duties.h"
 #include "entry/entry_settings.h"
@@ -22,7 +22,7 @@
 namespace
 {
 
-/// Which interface a router offers its callers.
+/// The interface that a router offers to callers.
 enum class Interface {
     Own, ///< chat completions and operations, with the catalogue of yucca-ctl
     Platform, ///< the platform's requests and configuration
@@ -30,9 +30,9 @@
 
 constexpr NameTable<Interface, 2> interfaceNames{{{Interface::Own, "own"}, {Interface::Platform, "platform"}}};
 
-// The interface that a settings file asks for; the rest of the file is read
-// and checked by that interface's own parser.
-Interface interfaceOf(const char *path)
+// Returns the interface that a settings file selects. The parser of that
+// interface reads the file again and checks it.
+Interface configuredInterface(const char *path)
 {
     Findings ignored;
     const auto document = settings::loadFile(path, ignored);
@@ -40,8 +40,8 @@
     return name.is_string() ? parseName(interfaceNames, name.get<std::string>()).value_or(Interface::Own) : Interface::Own;
 }
 
-/// One router process: the control side with its supervisor on a thread of
-/// its own, and the traffic side on one or more others.
+/// One router process: the supervised control tasks run on a thread of their own,
+/// requests run on one or more traffic threads.
 class RouterProcess
 {
 public:
@@ -59,18 +59,18 @@
                   return true;
               },
               [] {
-                  return true; // removals are conditional: several sweepers do no harm
+                  return true; // removals are conditional, so several routers may sweep concurrently
               },
               quarantineStoreOptions())
         , m_router(settings, m_recordsApi, &m_controlApi.bytes(), &m_recordsApi.bytes(), m_table, m_control, m_quarantine)
-        , m_supervisor(m_controlLoop, noteFailure)
+        , m_supervisor(m_controlLoop, logChildFailure)
     {
         for (int64_t i = 0; i < settings.threads; ++i) {
             m_trafficLoops.push_back(std::make_unique<asio::io_context>(1));
         }
     }
 
-    // Runs until a stop signal; returns the exit code.
+    // Runs until a stop signal and returns the exit code.
     int run()
     {
         std::vector<asio::io_context *> loops;
@@ -80,9 +80,9 @@
         http::Server server(loops, m_settings.listen.host, m_settings.listen.port, [this](http::Exchange &ex) {
             return m_router.handle(ex);
         });
-        auto bound = server.start();
-        if (!ok(bound)) {
-            fprintf(stderr, "yucca-router: %s\n", std::get<Error>(bound).message.c_str());
+        auto boundPort = server.start();
+        if (!ok(boundPort)) {
+            fprintf(stderr, "yucca-router: %s\n", std::get<Error>(boundPort).message.c_str());
             return cli::ExitFailure;
         }
         for (std::size_t n = 0; n < router::Control::kinds().size(); ++n) {
@@ -119,15 +119,15 @@
         threads.emplace_back([this] {
             m_controlLoop.run();
         });
-        std::vector<asio::executor_work_guard<asio::io_context::executor_type>> work;
+        std::vector<asio::executor_work_guard<asio::io_context::executor_type>> workGuards;
         for (auto *loop : loops) {
-            work.push_back(asio::make_work_guard(*loop));
+            workGuards.push_back(asio::make_work_guard(*loop));
             threads.emplace_back([loop] {
                 loop->run();
             });
         }
         log::event(log::Event::ProgramStarted,
-                   "id=" + m_settings.id + " port=" + std::to_string(std::get<uint16_t>(bound))
+                   "id=" + m_settings.id + " port=" + std::to_string(std::get<uint16_t>(boundPort))
                        + " policy=" + std::string(nameOf(policyNames, m_settings.policy)));
         runBlocking(cli::stopSignal());
         const bool clean = stop(server);
@@ -154,8 +154,9 @@
         return options;
     }
 
-    // Routers of this interface tell each other through the store alone, whose
-    // calls have no price: each ending goes there, and is soon read.
+    // Routers of this interface exchange endpoint failures through the store only,
+    // and its calls are free: every failure is stored at once, and the records are
+    // reloaded every second.
     static quarantine::QuarantineOptions quarantineOptions()
     {
         quarantine::QuarantineOptions options;
@@ -170,13 +171,14 @@
         return options;
     }
 
-    static void noteFailure(const std::string &child, const std::string &error, int failures)
+    static void logChildFailure(const std::string &child, const std::string &error, int failures)
     {
         log::event(log::Event::ChildFailed, "child=" + child + " failures=" + std::to_string(failures) + " error=\"" + error + "\"");
     }
 
-    // A planned stop: not ready first, then no new connections, then wait
-    // for every request in flight; the control side stops last.
+    // Stops gracefully: first reports not ready, then stops accepting connections,
+    // then waits for the requests in flight, and stops the control tasks last.
+    // Returns true if no request was left.
     bool stop(http::Server &server)
     {
         m_router.beginStop();
@@ -186,22 +188,22 @@
         asio::post(m_controlLoop, [this] {
             m_supervisor.stop();
         });
-        runBlocking(waitForControl());
+        runBlocking(waitForDuties());
         m_controlLoop.stop();
         return idle;
     }
 
-    // The duties give up their lease; the watch ends with its connection.
-    Task<void> waitForControl()
+    // Waits until the duties have released their lease. Watches need no wait: they end with their connections.
+    Task<void> waitForDuties()
     {
         const auto deadline = Clock::now() + controlStopGrace;
-        while (!dutiesDone() && Clock::now() < deadline) {
+        while (!onlyWatchesLeft() && Clock::now() < deadline) {
             co_await sleepFor(Millis(10));
         }
     }
 
-    // True when only the waiting watches may be left.
-    bool dutiesDone() const
+    // True if no more tasks run than there are watches.
+    bool onlyWatchesLeft() const
     {
         return m_supervisor.running() <= router::Control::kinds().size();
     }
@@ -227,8 +229,8 @@
 
 int main(int argc, const char **argv)
 {
-    // Until the process handles them: a reload that is asked for while it
-    // starts must not end it, nor a log reader that has gone.
+    // Ignored until the process installs handlers: a reload request during startup
+    // or a closed log pipe must not end the process.
     std::signal(SIGHUP, SIG_IGN);
     std::signal(SIGPIPE, SIG_IGN);
     cli::Common common;
@@ -249,7 +251,7 @@
     if (auto rc = cli::parse("yucca-router", argc, argv, own, common, rest)) {
         return *rc;
     }
-    if (common.config && interfaceOf(common.config) == Interface::Platform) {
+    if (common.config && configuredInterface(common.config) == Interface::Platform) {
         const auto entrySettings = cli::loadSettings<entry::Settings>(common, entry::parseSettings);
         if (!entrySettings) {
             return cli::ExitUsage;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -21,10 +21,10 @@
     }
 }
 
-// Marks a key as known and returns its value, or null when absent.
+// Marks a key as read and returns its value, or null if absent.
 const nlohmann::json *Reader::field(const char *key)
 {
-    m_known.insert(key);
+    m_readKeys.insert(key);
     auto it = m_object.find(key);
     return it == m_object.end() ? nullptr : &*it;
 }
@@ -124,7 +124,7 @@
 void Reader::finish()
 {
     for (auto it = m_object.begin(); it != m_object.end(); ++it) {
-        if (!m_known.count(it.key())) {
+        if (!m_readKeys.count(it.key())) {
             m_findings.add(m_path + "/" + it.key(), "unknown key");
         }
     }
@@ -147,15 +147,15 @@
         findings.add("", "cannot read settings file " + path);
         return nlohmann::json::object();
     }
-    std::stringstream buf;
-    buf << in.rdbuf();
-    return parseText(buf.str(), findings);
+    std::stringstream buffer;
+    buffer << in.rdbuf();
+    return parseText(buffer.str(), findings);
 }
 
 namespace
 {
 
-// Reads the listen block shared by the servers.
+// Reads the "listen" object that all servers share.
 void readListen(Reader r, Listen &l)
 {
     r.read("host", l.host);
@@ -164,7 +164,7 @@
     r.finish();
 }
 
-// Reads an enum by its wire name, recording a Finding for an unknown name.
+// Reads an enum value by its wire name; an unknown name is a finding.
 template <typename E, std::size_t N>
 void readEnum(Reader &r, const nlohmann::json &doc, const char *key, const std::string &path, const NameTable<E, N> &table, E &out, Findings &f)
 {
--- a/src/settings.h
+++ b/src/settings.h
@@ -1,4 +1,5 @@
-// Settings: JSON-with-comments files parsed into aggregates, every problem collected.
+// Settings of the programs: files of JSON with comments, parsed into structs. All
+// problems of a file are collected and reported together.
 #pragma once
 
 #include "findings.h"
@@ -13,8 +14,9 @@
 namespace yucca::settings
 {
 
-/// Reads typed, range-checked fields from one JSON object and records
-/// a Finding for each wrong type, out-of-range value or unknown key.
+/// Reads typed, range-checked fields of one JSON object. Adds a finding for each
+/// wrong type, out-of-range value and unknown key. An absent field leaves the
+/// output unchanged.
 class Reader
 {
 public:
@@ -25,12 +27,12 @@
     void read(const char *key, int64_t &out, int64_t min, int64_t max);
     void read(const char *key, double &out, double min, double max);
     void read(const char *key, uint16_t &out);
-    /// An object of strings.
+    /// Reads an object whose values are strings.
     void read(const char *key, std::map<std::string, std::string> &out);
-    /// A nested object; absent keys give an empty object.
+    /// Returns a reader of a nested object; an absent key gives an empty object.
     Reader child(const char *key);
-    /// Hands each object of a list to a function, then records its unknown keys.
-    template <typename F> void each(const char *key, F take)
+    /// Calls a function with a reader of each object of a list, then checks the object for unknown keys.
+    template <typename F> void each(const char *key, F readEntry)
     {
         const auto *list = field(key);
         if (!list) {
@@ -42,11 +44,11 @@
         }
         for (std::size_t i = 0; i < list->size(); ++i) {
             Reader entry((*list)[i], m_path + "/" + key + "/" + std::to_string(i), m_findings);
-            take(entry);
+            readEntry(entry);
             entry.finish();
         }
     }
-    /// Records every key that no read() asked for.
+    /// Adds a finding for each key that was not read.
     void finish();
 
 private:
@@ -55,17 +57,17 @@
     const nlohmann::json &m_object;
     std::string m_path;
     Findings &m_findings;
-    std::set<std::string> m_known;
+    std::set<std::string> m_readKeys;
 };
 
-/// Where a program listens and which failure domain it is in.
+/// Listen address of a program and its failure domain.
 struct Listen {
     std::string host = "127.0.0.1";
     uint16_t port = 0;
     std::string zone = "zone-a";
 };
 
-/// Where the platform's object API is.
+/// Address of the platform's object API.
 struct PlatformAddress {
     std::string host = "127.0.0.1";
     uint16_t port = 7400;
@@ -77,21 +79,21 @@
     Listen listen{"127.0.0.1", 7000, "zone-a"};
     PlatformAddress platform;
     Policy policy = Policy::Affinity;
-    double loadFactor = 1.5; ///< c: no engine above c times the mean of its pool, plus three
-    double fillFactor = 0.1; ///< share of a mean engine's load that one shared prompt may fill
+    double loadFactor = 1.5; ///< c: an engine's load is at most c times the mean of its pool plus 3 requests
+    double fillFactor = 0.1; ///< share of the mean engine load that one shared prompt may fill
     int64_t virtualNodes = 64; ///< points per engine on the hash ring of policy "bounded"
-    int64_t watchTimeoutMs = 25000; ///< long-poll length of the catalogue and VM list watch
-    int64_t suspectMs = 500; ///< an engine is passed by after a failed connection; doubled by each next, up to 16 times
-    int64_t requestTimeoutMs = 60000; ///< longest time of a request; a caller's x-deadline-ms may shorten it
-    int64_t streamPauseMs = 10000; ///< a stream silent for this long is resumed at another engine
-    int64_t maxAttempts = 3; ///< endpoints tried for one request
-    double retryRatio = 0.2; ///< retries allowed per request, over time
-    int64_t retryReserve = 20; ///< retries allowed at once
-    int64_t retryAfterS = 1; ///< told to callers whose request was not run
-    int64_t stopGraceMs = 10000; ///< longest wait for in-flight requests at a planned stop
-    int64_t threads = 1; ///< traffic threads; the control thread is one more
-    int64_t leaseMs = 10000; ///< term of the duty lease
-    int64_t recordRetentionS = 86400; ///< idempotency records are removed after this; 0: never
+    int64_t watchTimeoutMs = 25000; ///< long-poll timeout of the catalogue and VM list watches
+    int64_t suspectMs = 500; ///< how long an engine is skipped after a failed connection; doubles with each further failure, up to 16 times this value
+    int64_t requestTimeoutMs = 60000; ///< maximum duration of a request; x-deadline-ms may shorten it
+    int64_t streamPauseMs = 10000; ///< a stream without data for this long is resumed at another engine
+    int64_t maxAttempts = 3; ///< maximum number of endpoints tried for one request
+    double retryRatio = 0.2; ///< long-term limit of retries per request
+    int64_t retryReserve = 20; ///< retries allowed in a burst
+    int64_t retryAfterS = 1; ///< minimum Retry-After for callers whose request was rejected
+    int64_t stopGraceMs = 10000; ///< maximum wait for requests in flight at a graceful stop
+    int64_t threads = 1; ///< number of traffic threads, in addition to the control thread
+    int64_t leaseMs = 10000; ///< term of the lease that elects the router for fleet-wide duties
+    int64_t recordRetentionS = 86400; ///< age at which idempotency records are removed; 0: never
     std::string logLevel = "info";
 };
 
@@ -100,37 +102,40 @@
     std::string id = "engine-1";
     Listen listen{"127.0.0.1", 7100, "zone-a"};
     EndpointKind kind = EndpointKind::Engine;
-    int64_t slots = 8; ///< requests decoded at once (continuous batching)
-    int64_t queue = 64; ///< requests waiting for a slot; more are refused as not executed
+    int64_t slots = 8; ///< requests decoded concurrently (continuous batching)
+    int64_t queue = 64; ///< maximum number of requests waiting for a slot; further ones are refused as not executed
     int64_t cacheBlocks = 512; ///< prefix cache size in blocks
     int64_t blockTokens = 16; ///< tokens per cache block
-    int64_t tokensPerS = 400; ///< decode rate of a stream that runs alone
-    int64_t prefillTokensPerS = 20000; ///< rate at which prompt tokens that are not cached are read
-    int64_t loadLagMs = 300; ///< age of the load it reports
-    int64_t cacheEventLagMs = 500; ///< age of the cache events it publishes
-    int64_t cacheEventLossPct = 10; ///< share of cache events that are never published
-    bool checkFencing = true; ///< refuse orders carrying an old fencing number
-    int64_t stopGraceMs = 30000; ///< longest wait for in-flight requests at a planned stop
+    int64_t tokensPerS = 400; ///< decode rate of a single stream
+    int64_t prefillTokensPerS = 20000; ///< prefill rate of prompt tokens that are not cached
+    int64_t loadLagMs = 300; ///< delay of the reported load
+    int64_t cacheEventLagMs = 500; ///< delay of the published cache events
+    int64_t cacheEventLossPct = 10; ///< share of cache events that are lost
+    bool checkFencing = true; ///< refuse orders with an outdated fencing token
+    int64_t stopGraceMs = 30000; ///< maximum wait for requests in flight at a graceful stop
     std::string logLevel = "info";
 };
 
 /// yucca-platform settings.
 struct PlatformSettings {
     Listen listen{"127.0.0.1", 7400, "zone-a"};
-    int64_t writesPerS = 400;
-    int64_t readsPerS = 2000;
-    int64_t vmListLagMs = 1000;
-    int64_t watchHistory = 10000; ///< events kept for watches from an old version
+    int64_t writesPerS = 400; ///< rate limit of writes
+    int64_t readsPerS = 2000; ///< rate limit of reads
+    int64_t vmListLagMs = 1000; ///< delay of the VM list
+    int64_t watchHistory = 10000; ///< number of events kept for watches that start at an older revision
     std::string logLevel = "info";
 };
 
-/// Parses JSON text with comments; a syntax error becomes one Finding.
+/// Parses JSON with comments. On a syntax error, adds one finding and returns an empty object.
 nlohmann::json parseText(const std::string &text, Findings &findings);
-/// Reads a file of JSON with comments; a missing file is a Finding.
+/// Reads a file of JSON with comments. On an unreadable file or a syntax error, adds one finding and returns an empty object.
 nlohmann::json loadFile(const std::string &path, Findings &findings);
 
+/// Parses the settings of yucca-router. Absent keys keep their defaults; every problem is added to the findings.
 RouterSettings parseRouter(const nlohmann::json &doc, Findings &findings);
+/// Parses the settings of yucca-engine in the same way.
 EngineSettings parseEngine(const nlohmann::json &doc, Findings &findings);
+/// Parses the settings of yucca-platform in the same way.
 PlatformSettings parsePlatform(const nlohmann::json &doc, Findings &findings);
 
 } // namespace yucca::settings
--- a/src/sse.h
+++ b/src/sse.h
@@ -1,5 +1,5 @@
-// Server-sent events as the relay needs them: whole events out of a byte
-// stream, in order and without repeats across a resumed stream.
+// Splits a byte stream into server-sent events, in order and without duplicates
+// when the stream is resumed at another endpoint.
 #pragma once
 
 #include <cstdint>
@@ -10,48 +10,48 @@
 namespace yucca::sse
 {
 
-/// Collects the bytes of one caller's stream, over all the runs it is
-/// resumed in, and hands out whole events. Events carry increasing ids; one
-/// that was handed out already is dropped.
+/// Assembles complete events from the bytes of one caller's stream, across all
+/// endpoints that the stream is resumed at. Event ids increase by one; events that
+/// were returned before are dropped.
 class EventRelay
 {
 public:
-    /// Takes bytes as they arrive; returns the whole events among them, as
-    /// they are to be sent on.
+    /// Adds received bytes. Returns the events that are complete now, in the form
+    /// in which they are relayed.
     std::vector<std::string> push(std::string_view bytes);
-    /// The caller has the events up to this one from an earlier stream.
+    /// Sets the id of the last event that the caller received from an earlier stream.
     void startAfter(uint64_t lastId)
     {
         m_lastId = lastId;
     }
-    /// True while an event has begun and not ended.
+    /// True while an event is incomplete.
     bool midEvent() const
     {
         return !m_partial.empty();
     }
-    /// Forgets a half event: its run broke off, another goes on after lastId().
+    /// Discards an incomplete event: its stream broke, and another one resumes after lastId().
     void runEnded()
     {
         m_partial.clear();
     }
-    /// The id of the last event handed out; 0 before the first.
+    /// The id of the last event returned; 0 before the first.
     uint64_t lastId() const
     {
         return m_lastId;
     }
-    /// True once the terminal event ("data: [DONE]") was handed out.
+    /// True once the terminal event ("data: [DONE]") was returned.
     bool complete() const
     {
         return m_complete;
     }
-    /// True when an event was missing: what follows must not be sent on.
+    /// True if an event was missing: nothing after it may be relayed.
     bool gap() const
     {
         return m_gap;
     }
 
 private:
-    bool take(const std::string &event);
+    bool accept(const std::string &event);
 
     std::string m_partial;
     uint64_t m_lastId = 0;
--- a/tests/test_explain.cpp
+++ b/tests/test_explain.cpp
@@ -1,4 +1,5 @@
-// A request's story out of logs: in order, across routers, with its cause.
+// explain::Reader builds the timeline of a request from the logs of several routers
+// and names the cause of its outcome. The event catalogue must match the documentation.
 #include "explain.h"
 #include "log.h"
 
@@ -11,7 +12,7 @@
 
 using namespace yucca;
 
-TEST_GROUP(Explain){static explain::Story storyOf(const std::string &id, const std::vector<std::string> &logs){explain::Reader reader(id);
+TEST_GROUP(Explain){static explain::Timeline timelineOf(const std::string &id, const std::vector<std::string> &logs){explain::Reader reader(id);
 int n = 0;
 for (const auto &log : logs) {
     std::istringstream in(log);
@@ -22,41 +23,42 @@
 }
 ;
 
-TEST(Explain, AttemptsAcrossRoutersStandInOrderAndForeignLinesAreCounted)
+TEST(Explain, EventsOfSeveralRoutersAreSortedByTimeAndOtherLinesAreCounted)
 {
-    const auto story = storyOf("q1",
-                               {"{\"at_ms\":30,\"name\":\"RequestFinished\",\"id\":\"q1\",\"end\":\"cut\",\"events\":7,\"endpoint\":\"e2\"}\n"
-                                "not ours\n{\"half\":\n{\"at_ms\":5,\"name\":\"RequestFinished\",\"id\":\"other\",\"end\":\"delivered\"}\n",
-                                "{\"at_ms\":10,\"name\":\"AttemptEnded\",\"id\":\"q1\",\"endpoint\":\"e1\",\"end\":\"broken\",\"ms\":99,\"again\":true}\n"});
-    LONGS_EQUAL(2, story.entries.size());
-    STRCMP_EQUAL("AttemptEnded", story.entries[0].event.c_str());
-    STRCMP_EQUAL("router-2", story.entries[0].source.c_str());
-    LONGS_EQUAL(2, story.skipped);
-    CHECK(story.cause.find("after event 7 at endpoint e2") != std::string::npos);
+    const auto timeline =
+        timelineOf("q1",
+                   {"{\"at_ms\":30,\"name\":\"RequestFinished\",\"id\":\"q1\",\"end\":\"cut\",\"events\":7,\"endpoint\":\"e2\"}\n"
+                    "not ours\n{\"half\":\n{\"at_ms\":5,\"name\":\"RequestFinished\",\"id\":\"other\",\"end\":\"delivered\"}\n",
+                    "{\"at_ms\":10,\"name\":\"AttemptEnded\",\"id\":\"q1\",\"endpoint\":\"e1\",\"end\":\"broken\",\"ms\":99,\"again\":true}\n"});
+    LONGS_EQUAL(2, timeline.entries.size());
+    STRCMP_EQUAL("AttemptEnded", timeline.entries[0].event.c_str());
+    STRCMP_EQUAL("router-2", timeline.entries[0].source.c_str());
+    LONGS_EQUAL(2, timeline.skippedLines);
+    CHECK(timeline.cause.find("after event 7 at endpoint e2") != std::string::npos);
 }
 
-TEST(Explain, WhatItsEndpointDidShortlyBeforeBelongsToTheStory)
+TEST(Explain, DepartureOfAnAttemptedEndpointShortlyBeforeIsInTheTimeline)
 {
-    const auto story = storyOf("q1",
-                               {"{\"at_ms\":9000,\"name\":\"EndpointLeft\",\"endpoint\":\"e1\"}\n"
-                                "{\"at_ms\":9000,\"name\":\"EndpointLeft\",\"endpoint\":\"e9\"}\n"
-                                "{\"at_ms\":9100,\"name\":\"AttemptEnded\",\"id\":\"q1\",\"endpoint\":\"e1\",\"end\":\"broken\",\"again\":false}\n"
-                                "{\"at_ms\":9100,\"name\":\"RequestRejected\",\"id\":\"q1\",\"why\":\"answer_lost\",\"status\":502}\n"});
-    LONGS_EQUAL(3, story.entries.size());
-    STRCMP_EQUAL("EndpointLeft", story.entries[0].event.c_str());
-    CHECK(story.cause.find("its answer was lost") != std::string::npos);
+    const auto timeline = timelineOf("q1",
+                                     {"{\"at_ms\":9000,\"name\":\"EndpointLeft\",\"endpoint\":\"e1\"}\n"
+                                      "{\"at_ms\":9000,\"name\":\"EndpointLeft\",\"endpoint\":\"e9\"}\n"
+                                      "{\"at_ms\":9100,\"name\":\"AttemptEnded\",\"id\":\"q1\",\"endpoint\":\"e1\",\"end\":\"broken\",\"again\":false}\n"
+                                      "{\"at_ms\":9100,\"name\":\"RequestRejected\",\"id\":\"q1\",\"why\":\"answer_lost\",\"status\":502}\n"});
+    LONGS_EQUAL(3, timeline.entries.size());
+    STRCMP_EQUAL("EndpointLeft", timeline.entries[0].event.c_str());
+    CHECK(timeline.cause.find("its answer was lost") != std::string::npos);
 }
 
-TEST(Explain, AnIdThatNoLogKnowsIsSaidSo)
+TEST(Explain, UnknownRequestIdGivesAnEmptyTimelineAndACauseThatSaysSo)
 {
-    const auto story = storyOf("q1", {"{\"at_ms\":1,\"name\":\"RequestFinished\",\"id\":\"q2\"}\n"});
-    CHECK(story.entries.empty());
-    CHECK(story.cause.find("no line") != std::string::npos);
+    const auto timeline = timelineOf("q1", {"{\"at_ms\":1,\"name\":\"RequestFinished\",\"id\":\"q2\"}\n"});
+    CHECK(timeline.entries.empty());
+    CHECK(timeline.cause.find("no line") != std::string::npos);
 }
 
 TEST_GROUP(EventCatalogue){};
 
-TEST(EventCatalogue, EveryEventOfTheCodeIsInTheDocsAndTheOtherWayRound)
+TEST(EventCatalogue, CodeAndDocumentationListTheSameEvents)
 {
     std::ifstream file("docs/EVENTS.md");
     std::set<std::string> documented;
--- a/tests/test_foreign_entries.cpp
+++ b/tests/test_foreign_entries.cpp
@@ -1,5 +1,6 @@
-// Entries that other writers left among the endpoints': they name no endpoint,
-// also where a good entry stood before, and take none of the others with them.
+// The store may hold entries of other writers under the endpoints' kind. Such an
+// entry must not create an endpoint, must remove the endpoint whose valid entry it
+// replaces, and must not affect the entries of other endpoints.
 #include "answer_text.h"
 #include "codec.h"
 #include "entry_rig.h"
@@ -14,28 +15,28 @@
 namespace
 {
 
-json with(const char *field, json value)
+json entryWith(const char *field, json value)
 {
     auto entry = entryAt("127.0.0.1:80");
     entry[field] = std::move(value);
     return entry;
 }
 
-bool readable(const json &entry, const std::string &name = "i-1")
+bool isValidEntry(const json &entry, const std::string &name = "i-1")
 {
     Findings findings;
     return platform::ObjectCodec::endpoint(name, entry, findings).has_value();
 }
 
-// An item of a listing, its spec as given, byte by byte.
+// Returns an item of a listing; the spec is inserted byte by byte and may be invalid JSON.
 std::string item(const std::string &name, const std::string &spec)
 {
     return R"({"metadata":{"name":")" + name + R"(","revision":7,"created_rev":1,"finalizers":[],"deleting":false},"spec":)" + spec + R"(,"status":null})";
 }
 
-const std::vector<std::string> unreadable{
-    "{\"service\":\"m\xff\xfe\"}", // not UTF-8
-    "{\"service\":\"m\",\"slots\":1e999}", // beyond range
+const std::vector<std::string> invalidSpecs{
+    "{\"service\":\"m\xff\xfe\"}", // invalid UTF-8
+    "{\"service\":\"m\",\"slots\":1e999}", // number out of range
     "{\"service\":\"m\",\"slots\":-}",     "{\"service\":\"m\x01\"}", "tru", "{\"a\":{\"b\":[1,}]}",
 };
 
@@ -43,47 +44,47 @@
 
 TEST_GROUP(ForeignEntries){};
 
-TEST(ForeignEntries, AnEndpointsOwnEntryIsRead)
+TEST(ForeignEntries, ValidEntryGivesAnEndpoint)
 {
-    CHECK(readable(entryAt("127.0.0.1:80")));
-    auto leaving = with("state", "draining");
+    CHECK(isValidEntry(entryAt("127.0.0.1:80")));
+    auto leaving = entryWith("state", "draining");
     Findings findings;
     CHECK(platform::ObjectCodec::endpoint("i-1", leaving, findings)->state == EndpointState::Leaving);
     LONGS_EQUAL(1796260000000, platform::ObjectCodec::endpoint("i-1", leaving, findings)->born);
-    leaving.erase("born"); // an endpoint of before that field
-    CHECK(readable(leaving));
+    leaving.erase("born"); // written by an endpoint version without that field
+    CHECK(isValidEntry(leaving));
 }
 
-TEST(ForeignEntries, AMissingFieldOrOneOfAnotherTypeNamesNoEndpoint)
+TEST(ForeignEntries, EntryWithAMissingFieldOrAWrongTypeIsRejected)
 {
     for (const char *field : {"service", "address", "zone", "version", "slots", "state", "cold_remaining_ms", "sequence"}) {
         auto missing = entryAt("127.0.0.1:80");
         missing.erase(field);
-        CHECK_TEXT(!readable(missing), field);
-        CHECK_TEXT(!readable(with(field, json::array({1}))), field);
-        CHECK_TEXT(!readable(with(field, nullptr)), field);
+        CHECK_TEXT(!isValidEntry(missing), field);
+        CHECK_TEXT(!isValidEntry(entryWith(field, json::array({1}))), field);
+        CHECK_TEXT(!isValidEntry(entryWith(field, nullptr)), field);
     }
-    CHECK(!readable(with("slots", "64")));
-    CHECK(!readable(with("state", true)));
-    CHECK(!readable(with("born", 1.5)));
-    CHECK(!readable(with("born", "now")));
-    CHECK(!readable(json::array()));
-    CHECK(!readable(json("ready")));
-    CHECK(!readable(entryAt("127.0.0.1:80"), ""));
+    CHECK(!isValidEntry(entryWith("slots", "64")));
+    CHECK(!isValidEntry(entryWith("state", true)));
+    CHECK(!isValidEntry(entryWith("born", 1.5)));
+    CHECK(!isValidEntry(entryWith("born", "now")));
+    CHECK(!isValidEntry(json::array()));
+    CHECK(!isValidEntry(json("ready")));
+    CHECK(!isValidEntry(entryAt("127.0.0.1:80"), ""));
 }
 
-TEST(ForeignEntries, AStateThatIsNotNamedIsNoEndpoints)
+TEST(ForeignEntries, EntryWithAnUnknownStateIsRejected)
 {
-    CHECK(!readable(with("state", "resting")));
-    CHECK(!readable(with("state", "")));
+    CHECK(!isValidEntry(entryWith("state", "resting")));
+    CHECK(!isValidEntry(entryWith("state", "")));
 }
 
-TEST(ForeignEntries, BytesThatCannotBeReadSpoilOnlyTheirEntry)
+TEST(ForeignEntries, InvalidJsonInOneEntryLeavesTheOtherEntriesReadable)
 {
-    for (const auto &spec : unreadable) {
+    for (const auto &spec : invalidSpecs) {
         const std::string text = R"({"items":[)" + item("a", entryAt("127.0.0.1:1").dump()) + "," + item("b", spec) + " , " + item("c", "{\"x\":\"]}\\\"\"}")
             + R"(],"store_revision":9})";
-        const auto answer = platform::readAnswer(text);
+        const auto answer = platform::parseResponse(text);
         CHECK_TEXT(answer.is_object(), spec.c_str());
         LONGS_EQUAL(9, answer["store_revision"].get<int>());
         LONGS_EQUAL(3, answer["items"].size());
@@ -94,10 +95,10 @@
     }
 }
 
-TEST(ForeignEntries, AnAnswerWhoseEntriesCannotBeToldApartIsNone)
+TEST(ForeignEntries, ResponseThatCannotBeSplitIntoEntriesGivesNoItems)
 {
     for (const char *text : {"", "{", "{\"items\":[{]}", "{\"items\":[\"a}", "[1,2", "nonsense"}) {
-        CHECK_TEXT(!platform::readAnswer(text).is_object() || platform::readAnswer(text)["items"].is_null(), text);
+        CHECK_TEXT(!platform::parseResponse(text).is_object() || platform::parseResponse(text)["items"].is_null(), text);
     }
 }
 
@@ -106,7 +107,7 @@
 namespace
 {
 
-// A store whose next answers are the test's own bytes.
+// A store that responds to each call with the bytes that the test has set.
 struct ScriptedStore {
     explicit ScriptedStore(Loop &loop)
         : endpoint(loop,
@@ -122,17 +123,17 @@
     platform::StoreClient client;
 };
 
-std::string listingOf(const std::string &items)
+std::string listingResponse(const std::string &items)
 {
     return R"({"items":[)" + items + R"(],"has_more":false,"store_revision":9})";
 }
 
-std::string event(const std::string &object)
+std::string watchEvent(const std::string &object)
 {
     return R"({"deleted":false,"object":)" + object + "}";
 }
 
-std::vector<std::string> listedIds(const router::RoutingTable &table)
+std::vector<std::string> endpointIds(const router::RoutingTable &table)
 {
     std::vector<std::string> ids;
     for (const auto &e : table.endpoints()) {
@@ -143,38 +144,38 @@
 
 } // namespace
 
-TEST(ForeignEntriesInTheStore, TheOthersHoldInAListingAndInAWatch)
+TEST(ForeignEntriesInTheStore, InvalidEntryInAListingOrAWatchLeavesTheOtherEndpointsListed)
 {
-    for (const auto &spec : unreadable) {
+    for (const auto &spec : invalidSpecs) {
         ScriptedStore store(loop());
         router::RoutingTable table;
         entry::Published published(table);
         entry::Control<platform::ObjectCodec> control(store.client, published);
         const auto a = item("a", entryAt("127.0.0.1:1").dump());
         const auto b = item("b", entryAt("127.0.0.1:2").dump());
-        store.answer = listingOf(a + "," + b + "," + item("c", spec));
+        store.answer = listingResponse(a + "," + b + "," + item("c", spec));
         CHECK(loop().run(control.stepEndpoints()));
-        CHECK((listedIds(table) == std::vector<std::string>{"a", "b"}));
-        // A good entry gives way to one that can't be read, and one more joins behind it.
+        CHECK((endpointIds(table) == std::vector<std::string>{"a", "b"}));
+        // An invalid entry replaces the valid one of "a", and a later event adds "d".
         const auto d = item("d", entryAt("127.0.0.1:4").dump());
-        store.answer = R"({"events":[)" + event(item("a", spec)) + ",7," + event("null") + "," + event(d) + R"(],"store_revision":12})";
+        store.answer = R"({"events":[)" + watchEvent(item("a", spec)) + ",7," + watchEvent("null") + "," + watchEvent(d) + R"(],"store_revision":12})";
         CHECK(loop().run(control.stepEndpoints()));
-        CHECK((listedIds(table) == std::vector<std::string>{"b", "d"}));
-        // The endpoint writes its entry again.
-        store.answer = R"({"events":[)" + event(a) + R"(],"store_revision":13})";
+        CHECK((endpointIds(table) == std::vector<std::string>{"b", "d"}));
+        // Endpoint "a" writes a valid entry again.
+        store.answer = R"({"events":[)" + watchEvent(a) + R"(],"store_revision":13})";
         CHECK(loop().run(control.stepEndpoints()));
-        CHECK((listedIds(table) == std::vector<std::string>{"a", "b", "d"}));
+        CHECK((endpointIds(table) == std::vector<std::string>{"a", "b", "d"}));
     }
 }
 
-TEST(ForeignEntriesInTheStore, MetadataOfAnotherTypeIsNobodys)
+TEST(ForeignEntriesInTheStore, ItemWithInvalidMetadataIsSkipped)
 {
     ScriptedStore store(loop());
     router::RoutingTable table;
     entry::Published published(table);
     entry::Control<platform::ObjectCodec> control(store.client, published);
     const auto good = item("b", entryAt("127.0.0.1:2").dump());
-    store.answer = listingOf(R"({"metadata":{"name":5,"revision":"x"},"spec":)" + entryAt("127.0.0.1:1").dump() + "},7,null," + good);
+    store.answer = listingResponse(R"({"metadata":{"name":5,"revision":"x"},"spec":)" + entryAt("127.0.0.1:1").dump() + "},7,null," + good);
     CHECK(loop().run(control.stepEndpoints()));
-    CHECK((listedIds(table) == std::vector<std::string>{"b"}));
+    CHECK((endpointIds(table) == std::vector<std::string>{"b"}));
 }
--- a/tests/test_http.cpp
+++ b/tests/test_http.cpp
@@ -1,5 +1,5 @@
-// What the HTTP server takes for a request and what it rejects: messages
-// whose end two readers could see in different places (RFC 9112).
+// The HTTP server must reject messages whose end two parsers could place
+// differently (RFC 9112): otherwise a caller could smuggle a request past the checks.
 #include "entry_rig.h"
 
 #include "loop_group.h"
@@ -10,8 +10,8 @@
 namespace
 {
 
-// Sends raw bytes to a server and reads until it closes.
-Task<std::string> exchangeBytes(uint16_t port, std::string bytes)
+// Sends raw bytes to a server and returns all it sends until it closes the connection.
+Task<std::string> sendAndReadAll(uint16_t port, std::string bytes)
 {
     tcp::socket socket(co_await asio::this_coro::executor);
     const tcp::endpoint to(asio::ip::make_address("127.0.0.1"), port);
@@ -53,10 +53,10 @@
 
 LOOP_GROUP(StrictHttp);
 
-TEST(StrictHttp, AmbiguousMessagesAreRejectedAndTheConnectionEnds)
+TEST(StrictHttp, AmbiguousMessageIsRejectedAndTheConnectionIsClosed)
 {
     const std::string smuggled = "GET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n";
-    const std::vector<std::string> improper{
+    const std::vector<std::string> ambiguous{
         "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + smuggled,
         "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled,
         "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n" + smuggled,
@@ -69,43 +69,43 @@
         "GET /a HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n" + smuggled,
         "NONSENSE\r\n\r\n" + smuggled,
     };
-    for (const auto &message : improper) {
+    for (const auto &message : ambiguous) {
         EchoServer echo(loop());
-        const auto answer = loop().run(exchangeBytes(echo.port, message));
+        const auto answer = loop().run(sendAndReadAll(echo.port, message));
         STRCMP_EQUAL("HTTP/1.1 400 Bad Request", statusLine(answer).c_str());
         LONGS_EQUAL(0, echo.paths.size());
-        CHECK(answer.find("HTTP/1.1 ", 1) == std::string::npos); // nothing behind it was answered
+        CHECK(answer.find("HTTP/1.1 ", 1) == std::string::npos); // the bytes after the message got no response
     }
 }
 
-TEST(StrictHttp, ProperMessagesArriveWhole)
+TEST(StrictHttp, ValidPipelinedRequestsAreHandled)
 {
     EchoServer echo(loop());
-    const auto answer = loop().run(exchangeBytes(echo.port,
-                                                 "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
-                                                 "GET /b HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"));
+    const auto answer = loop().run(sendAndReadAll(echo.port,
+                                                  "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
+                                                  "GET /b HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"));
     CHECK(answer.find("abcde") != std::string::npos);
     LONGS_EQUAL(2, echo.paths.size());
 }
 
-TEST(StrictHttp, WhatIsTooLargeIsSaidSo)
+TEST(StrictHttp, TooLargeHeadOrBodyGives431Or413)
 {
     http::ServerLimits limits;
     limits.headerBytes = 1024;
     limits.bodyBytes = 1000;
     EchoServer echo(loop(), limits);
-    const auto head = loop().run(exchangeBytes(echo.port, "GET /a HTTP/1.1\r\nHost: a\r\nX: " + std::string(2000, 'x') + "\r\n\r\n"));
+    const auto head = loop().run(sendAndReadAll(echo.port, "GET /a HTTP/1.1\r\nHost: a\r\nX: " + std::string(2000, 'x') + "\r\n\r\n"));
     STRCMP_EQUAL("HTTP/1.1 431 Request Header Fields Too Large", statusLine(head).c_str());
-    const auto body = loop().run(exchangeBytes(echo.port, "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 2000\r\n\r\n" + std::string(2000, 'x')));
+    const auto body = loop().run(sendAndReadAll(echo.port, "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 2000\r\n\r\n" + std::string(2000, 'x')));
     STRCMP_EQUAL("HTTP/1.1 413 Payload Too Large", statusLine(body).c_str());
     LONGS_EQUAL(0, echo.paths.size());
 }
 
-TEST(StrictHttp, ACallerThatAsksFirstIsToldToContinue)
+TEST(StrictHttp, ExpectContinueGivesAnInterimResponse)
 {
     EchoServer echo(loop());
     const auto answer =
-        loop().run(exchangeBytes(echo.port, "POST /a HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi"));
+        loop().run(sendAndReadAll(echo.port, "POST /a HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi"));
     STRCMP_EQUAL("HTTP/1.1 100 Continue", statusLine(answer).c_str());
     CHECK(answer.find("200 OK") != std::string::npos);
 }
@@ -114,7 +114,7 @@
 {
     EchoServer echo(loop());
     echo.server.askCallersToLeave();
-    const auto answer = loop().run(exchangeBytes(echo.port, "GET /a HTTP/1.1\r\nHost: a\r\n\r\n"));
+    const auto answer = loop().run(sendAndReadAll(echo.port, "GET /a HTTP/1.1\r\nHost: a\r\n\r\n"));
     CHECK(answer.find("Connection: close") != std::string::npos);
     LONGS_EQUAL(1, echo.paths.size());
 }
