--- a/emulators/bench.cpp
+++ b/emulators/bench.cpp
@@ -1,7 +1,6 @@
-// The built-in bench: every policy places the same traffic of returning
-// conversations, in virtual time, from several routers that each see a
-// sliver of it and hear of loads late. Deterministic: prints a signature
-// that hashes every choice, so that any change of behaviour shows.
+// The placement benchmark. Every policy places the same traffic of returning conversations, in virtual time, from
+// several routers that each see a fraction of it and receive load reports late. The run is deterministic: the signature
+// is a hash over all decisions, so any change of behaviour changes it.
 #include "bench.h"
 
 #include "engine_core.h"
@@ -29,19 +28,19 @@
 using placement::TimePoint;
 using std::chrono::milliseconds;
 
-constexpr int surgeWorkspaces = 3; ///< workspaces that surge at once
-constexpr int largeWorkspaces = 3; ///< a few large ones, as the brief says
-constexpr double largeShare = 0.5; ///< of the traffic, when nothing surges
-constexpr double surgeShare = 0.8; ///< of the traffic, in the middle third
-constexpr milliseconds firstToken{300}; ///< from placement to the first report
+constexpr int surgeWorkspaces = 3; ///< surging at the same time
+constexpr int largeWorkspaces = 3; ///< the workspaces are of unequal size: a few are large
+constexpr double largeShare = 0.5; ///< share of the traffic that large workspaces get outside a surge
+constexpr double surgeShare = 0.8; ///< share of the traffic that surging workspaces get, in the middle third of the run
+constexpr milliseconds firstTokenDelay{300}; ///< from placement to the first load report
 constexpr milliseconds reportLag{300}; ///< age of the load in a report
-constexpr milliseconds membershipLagMax{2000}; ///< routers hear of a changed member within this
-constexpr milliseconds sampleEvery{100}; ///< skew is sampled this often
-constexpr int virtualNodes = 64; ///< of the bounded policy, whose bound is the same as ours
+constexpr milliseconds maxMembershipLag{2000}; ///< routers learn of a membership change within this time
+constexpr milliseconds sampleInterval{100}; ///< between two samples of the skew
+constexpr int virtualNodes = 64; ///< of the bounded policy, which uses the default load factor of the affinity policy
 constexpr double capFactor = 2.0; ///< an engine above capFactor * mean + capSlack counts as overloaded
 constexpr double capSlack = 3.0;
 
-/// The fleet and workload.
+/// The simulated fleet and its workload.
 struct Scenario {
     int routers = 7;
     int engines = 18;
@@ -49,24 +48,24 @@
     int conversations = 4000;
     int ratePerS = 100;
     int seconds = 300;
-    int inflightMs = 4000; ///< mean time of a request on its engine
-    int cacheBlocks = 2000; ///< per engine
-    int sharedBlocks = 16; ///< a workspace's system prompt
-    int turnBlocks = 4; ///< new blocks each turn adds
-    int churnEveryS = 20; ///< an engine leaves and an empty one joins
+    int inflightMs = 4000; ///< mean duration of a request on its engine, beyond the time to the first token
+    int cacheBlocks = 2000; ///< capacity of the prefix cache of one engine
+    int sharedBlocks = 16; ///< of a workspace's system prompt
+    int turnBlocks = 4; ///< blocks that each turn adds to the prompt
+    int churnEveryS = 20; ///< an engine leaves and an empty one joins at this interval; 0: never
 };
 
-/// What one policy achieved.
+/// The results of one policy.
 struct Outcome {
-    double reuse = 0; ///< cached blocks over prompt blocks
-    double meanSkew = 0; ///< mean over the samples of the busiest engine over the mean
+    double reuse = 0; ///< cached blocks divided by prompt blocks
+    double meanSkew = 0; ///< mean over the samples of: highest load divided by mean load
     double worstSkew = 0;
-    double overCap = 0; ///< share of samples with an engine above the cap
+    double overCap = 0; ///< share of samples in which an engine is overloaded
     double nsPerDecision = 0;
     uint64_t signature = 0;
 };
 
-/// One engine of the bench.
+/// One simulated engine.
 struct Engine {
     std::string id;
     engine::PrefixCache cache;
@@ -74,12 +73,12 @@
     int64_t load = 0;
 };
 
-/// What happens at a moment of virtual time.
+/// Kinds of simulation events.
 enum class EventKind { Arrival, Report, Finish, Churn, Membership, Sample };
 
 struct Event {
     TimePoint at;
-    uint64_t order; ///< ties are served first come, first served
+    uint64_t order; ///< events at the same time are handled in the order in which they were scheduled
     EventKind kind;
     int router = 0;
     std::string engine;
@@ -89,16 +88,16 @@
     }
 };
 
-/// One run of a policy through the scenario.
+/// One run of a scenario with a policy.
 template <placement::Policy P> class Run
 {
 public:
     Run(const Scenario &scenario, const P &policy)
-        : m_s(scenario)
+        : m_scenario(scenario)
         , m_rng(42)
         , m_policies(scenario.routers, policy)
     {
-        for (; m_nextEngine < m_s.engines; ++m_nextEngine) {
+        for (; m_nextEngine < m_scenario.engines; ++m_nextEngine) {
             addEngine();
         }
         for (auto &p : m_policies) {
@@ -109,11 +108,11 @@
     Outcome run()
     {
         schedule(EventKind::Arrival, milliseconds(0));
-        schedule(EventKind::Sample, sampleEvery);
-        if (m_s.churnEveryS > 0) {
-            schedule(EventKind::Churn, std::chrono::seconds(m_s.churnEveryS));
+        schedule(EventKind::Sample, sampleInterval);
+        if (m_scenario.churnEveryS > 0) {
+            schedule(EventKind::Churn, std::chrono::seconds(m_scenario.churnEveryS));
         }
-        const TimePoint end = m_now + std::chrono::seconds(m_s.seconds);
+        const TimePoint end = m_now + std::chrono::seconds(m_scenario.seconds);
         while (!m_events.empty() && m_events.top().at < end) {
             const Event e = m_events.top();
             m_events.pop();
@@ -121,11 +120,11 @@
             handle(e);
         }
         Outcome o;
-        o.reuse = m_prompt ? static_cast<double>(m_cached) / static_cast<double>(m_prompt) : 0;
+        o.reuse = m_promptBlocks ? static_cast<double>(m_cachedBlocks) / static_cast<double>(m_promptBlocks) : 0;
         o.meanSkew = m_samples ? m_skewSum / static_cast<double>(m_samples) : 0;
         o.worstSkew = m_worstSkew;
         o.overCap = m_samples ? static_cast<double>(m_overCap) / static_cast<double>(m_samples) : 0;
-        o.nsPerDecision = m_decisions ? static_cast<double>(m_spent.count()) / static_cast<double>(m_decisions) : 0;
+        o.nsPerDecision = m_decisions ? static_cast<double>(m_decisionTime.count()) / static_cast<double>(m_decisions) : 0;
         o.signature = m_signature;
         return o;
     }
@@ -135,7 +134,7 @@
     {
         char id[32];
         snprintf(id, sizeof id, "engine-%06d", m_nextEngine);
-        m_engines.push_back({id, engine::PrefixCache(static_cast<std::size_t>(m_s.cacheBlocks)), engine::LoadHistory(reportLag)});
+        m_engines.push_back({id, engine::PrefixCache(static_cast<std::size_t>(m_scenario.cacheBlocks)), engine::LoadHistory(reportLag)});
     }
 
     std::vector<std::string> ids() const
@@ -147,7 +146,7 @@
         return out;
     }
 
-    Engine *find(const std::string &id)
+    Engine *findEngine(const std::string &id)
     {
         auto it = std::lower_bound(m_engines.begin(), m_engines.end(), id, [](const Engine &e, const std::string &want) {
             return e.id < want;
@@ -155,9 +154,9 @@
         return it != m_engines.end() && it->id == id ? &*it : nullptr;
     }
 
-    void schedule(EventKind kind, std::chrono::nanoseconds in, int router = 0, std::string engine = {})
+    void schedule(EventKind kind, std::chrono::nanoseconds delay, int router = 0, std::string engine = {})
     {
-        m_events.push({m_now + std::chrono::duration_cast<TimePoint::duration>(in), m_order++, kind, router, std::move(engine)});
+        m_events.push({m_now + std::chrono::duration_cast<TimePoint::duration>(delay), m_nextOrder++, kind, router, std::move(engine)});
     }
 
     std::chrono::nanoseconds exponential(double meanMs)
@@ -169,99 +168,99 @@
     {
         switch (e.kind) {
         case EventKind::Arrival:
-            arrive();
-            schedule(EventKind::Arrival, exponential(1000.0 / m_s.ratePerS));
+            placeNextTurn();
+            schedule(EventKind::Arrival, exponential(1000.0 / m_scenario.ratePerS));
             break;
         case EventKind::Report:
-            report(e);
+            deliverReport(e);
             break;
         case EventKind::Finish:
-            finish(e);
+            finishRequest(e);
             break;
         case EventKind::Churn:
-            churn();
-            schedule(EventKind::Churn, std::chrono::seconds(m_s.churnEveryS));
+            replaceEngine();
+            schedule(EventKind::Churn, std::chrono::seconds(m_scenario.churnEveryS));
             break;
         case EventKind::Membership:
             m_policies[e.router].setMembers(ids());
             break;
         case EventKind::Sample:
-            sample();
-            schedule(EventKind::Sample, sampleEvery);
+            sampleSkew();
+            schedule(EventKind::Sample, sampleInterval);
             break;
         }
     }
 
-    // True in the middle third of the run, when a few workspaces surge.
+    // Returns true in the middle third of the run, when a few workspaces surge.
     bool surging() const
     {
-        const double third = m_s.seconds / 3.0;
+        const double third = m_scenario.seconds / 3.0;
         const double t = std::chrono::duration<double>(m_now.time_since_epoch()).count();
         return t > third && t < 2 * third;
     }
 
-    // The conversation of the next request. A few workspaces are large; in a
-    // surge, a few others get most of the traffic, from callers in proportion.
+    // Draws workspace and caller of the next request. A few workspaces are large. In a surge, a few others get most of
+    // the traffic. The number of callers of a workspace is in proportion to its share of the traffic.
     std::pair<int, int> drawConversation()
     {
         const bool surge = surging();
-        const int few = std::min(surge ? surgeWorkspaces : largeWorkspaces, m_s.workspaces);
+        const int count = std::min(surge ? surgeWorkspaces : largeWorkspaces, m_scenario.workspaces);
         const double share = surge ? surgeShare : largeShare;
-        int workspace = static_cast<int>(m_rng() % m_s.workspaces);
-        double callers = (1 - share) / m_s.workspaces;
+        int workspace = static_cast<int>(m_rng() % m_scenario.workspaces);
+        double callerShare = (1 - share) / m_scenario.workspaces;
         if (std::uniform_real_distribution<double>(0, 1)(m_rng) < share) {
-            const int offset = surge ? m_s.workspaces / 2 : 0;
-            workspace = (offset + static_cast<int>(m_rng() % few)) % m_s.workspaces;
-            callers = share / few;
+            const int offset = surge ? m_scenario.workspaces / 2 : 0;
+            workspace = (offset + static_cast<int>(m_rng() % count)) % m_scenario.workspaces;
+            callerShare = share / count;
         }
-        const int population = std::max(1, static_cast<int>(callers * m_s.conversations));
+        const int population = std::max(1, static_cast<int>(callerShare * m_scenario.conversations));
         return {workspace, static_cast<int>(m_rng() % population)};
     }
 
-    // One turn of a conversation of a drawn workspace.
-    void arrive()
+    // Places the next turn of a random conversation.
+    void placeNextTurn()
     {
         const auto [workspace, caller] = drawConversation();
         const uint64_t c = (static_cast<uint64_t>(workspace) << 32) | static_cast<uint64_t>(caller);
-        auto &h = m_history[c];
-        if (h.empty()) {
-            for (int b = 0; b < m_s.sharedBlocks; ++b) {
-                h.push_back(ring::hash("shared", static_cast<uint64_t>(workspace) * 1000 + b));
+        auto &blocks = m_history[c];
+        if (blocks.empty()) {
+            for (int b = 0; b < m_scenario.sharedBlocks; ++b) {
+                blocks.push_back(ring::hash("shared", static_cast<uint64_t>(workspace) * 1000 + b));
             }
         }
-        for (int b = 0; b < m_s.turnBlocks; ++b) {
-            h.push_back(ring::hash("turn", ring::hash("c", c) + h.size()));
+        for (int b = 0; b < m_scenario.turnBlocks; ++b) {
+            blocks.push_back(ring::hash("turn", ring::hash("c", c) + blocks.size()));
         }
-        const int router = static_cast<int>(m_rng() % m_s.routers);
+        const int router = static_cast<int>(m_rng() % m_scenario.routers);
         auto &policy = m_policies[router];
         const Affinity affinity{ring::hash("w", workspace), ring::hash("c", c)};
         const placement::Usable usable(policy.members().size(), true);
-        const auto began = std::chrono::steady_clock::now();
+        const auto start = std::chrono::steady_clock::now();
         const auto pick = policy.pick(affinity, usable, m_now);
-        m_spent += std::chrono::steady_clock::now() - began;
+        m_decisionTime += std::chrono::steady_clock::now() - start;
         ++m_decisions;
         const std::string id = policy.members()[*pick];
         m_signature = ring::hash(id, m_signature);
         policy.placed(*pick, m_now);
-        auto *e = find(id);
+        auto *e = findEngine(id);
         if (!e) {
-            finishAt(router, id, milliseconds(1)); // it has left: the router finds the connection refused
+            scheduleFinish(router, id, milliseconds(1)); // the engine has left: its connection is refused
             return;
         }
-        m_cached += e->cache.match(h);
-        m_prompt += h.size();
-        e->cache.insert(h);
+        m_cachedBlocks += e->cache.match(blocks);
+        m_promptBlocks += blocks.size();
+        e->cache.insert(blocks);
         e->reports.record(m_now, ++e->load);
-        schedule(EventKind::Report, firstToken, router, id);
-        finishAt(router, id, firstToken + exponential(m_s.inflightMs));
+        schedule(EventKind::Report, firstTokenDelay, router, id);
+        scheduleFinish(router, id, firstTokenDelay + exponential(m_scenario.inflightMs));
     }
 
-    void finishAt(int router, const std::string &id, std::chrono::nanoseconds in)
+    void scheduleFinish(int router, const std::string &id, std::chrono::nanoseconds delay)
     {
-        schedule(EventKind::Finish, in, router, id);
+        schedule(EventKind::Finish, delay, router, id);
     }
 
-    std::optional<std::size_t> memberOf(const P &policy, const std::string &id) const
+    std::optional<std::size_t> memberIndex(const P &policy, const std::string &id) const
     {
         const auto &members = policy.members();
         auto it = std::lower_bound(members.begin(), members.end(), id);
@@ -271,42 +270,42 @@
         return static_cast<std::size_t>(it - members.begin());
     }
 
-    // An engine's answer carries its load, as it was reportLag ago.
-    void report(const Event &e)
+    // The response of an engine carries the load that the engine had reportLag ago.
+    void deliverReport(const Event &e)
     {
         auto &policy = m_policies[e.router];
-        auto *engine = find(e.engine);
-        auto member = memberOf(policy, e.engine);
+        auto *engine = findEngine(e.engine);
+        auto member = memberIndex(policy, e.engine);
         if (engine && member) {
             policy.reported(*member, engine->reports.reported(m_now), m_now);
         }
     }
 
-    void finish(const Event &e)
+    void finishRequest(const Event &e)
     {
-        if (auto *engine = find(e.engine)) {
+        if (auto *engine = findEngine(e.engine)) {
             engine->reports.record(m_now, --engine->load);
         }
-        if (auto member = memberOf(m_policies[e.router], e.engine)) {
+        if (auto member = memberIndex(m_policies[e.router], e.engine)) {
             m_policies[e.router].finished(*member, m_now);
         }
     }
 
-    // One engine leaves, an empty one joins; routers hear of it one by one.
-    void churn()
+    // Replaces a random engine by an empty one. Routers learn of it one by one.
+    void replaceEngine()
     {
         m_engines.erase(m_engines.begin() + static_cast<std::ptrdiff_t>(m_rng() % m_engines.size()));
         addEngine();
         ++m_nextEngine;
-        for (int r = 0; r < m_s.routers; ++r) {
-            schedule(EventKind::Membership, milliseconds(m_rng() % membershipLagMax.count()), r);
+        for (int r = 0; r < m_scenario.routers; ++r) {
+            schedule(EventKind::Membership, milliseconds(m_rng() % maxMembershipLag.count()), r);
         }
     }
 
-    void sample()
+    void sampleSkew()
     {
-        if (m_now.time_since_epoch() < std::chrono::seconds(m_s.seconds / 10)) {
-            return; // warming up
+        if (m_now.time_since_epoch() < std::chrono::seconds(m_scenario.seconds / 10)) {
+            return; // warm-up
         }
         int64_t total = 0;
         int64_t peak = 0;
@@ -325,27 +324,27 @@
         m_overCap += static_cast<double>(peak) > capFactor * mean + capSlack ? 1 : 0;
     }
 
-    Scenario m_s;
+    Scenario m_scenario;
     std::mt19937_64 m_rng;
     std::vector<P> m_policies; ///< one per router
     std::vector<Engine> m_engines; ///< sorted by id
-    std::unordered_map<uint64_t, std::vector<uint64_t>> m_history; ///< the prompt blocks of each conversation
+    std::unordered_map<uint64_t, std::vector<uint64_t>> m_history; ///< prompt blocks by conversation
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
-    uint64_t m_order = 0;
+    uint64_t m_nextOrder = 0;
     int m_nextEngine = 0;
     TimePoint m_now{};
-    uint64_t m_cached = 0;
-    uint64_t m_prompt = 0;
+    uint64_t m_cachedBlocks = 0;
+    uint64_t m_promptBlocks = 0;
     uint64_t m_samples = 0;
     uint64_t m_overCap = 0;
     double m_skewSum = 0;
     double m_worstSkew = 0;
     uint64_t m_decisions = 0;
-    std::chrono::nanoseconds m_spent{0};
+    std::chrono::nanoseconds m_decisionTime{0};
     uint64_t m_signature = 0;
 };
 
-// Runs one policy and prints its row; returns its signature.
+// Runs one policy, prints its row of the table and returns its signature.
 template <placement::Policy P> uint64_t measure(const char *name, const P &policy, const Scenario &scenario)
 {
     const Outcome o = Run<P>(scenario, policy).run();
--- a/emulators/endpoint_server.cpp
+++ b/emulators/endpoint_server.cpp
@@ -12,20 +12,20 @@
 {
 
 constexpr const char *attemptIdHeader = "Yuccasaddle-Attempt-Id";
-constexpr Millis restBegins{500}; ///< after it was asked for: what is on its way by then still arrives
-constexpr int mostWhileResting = 2; ///< requests of one sender
+constexpr Millis backoffStartDelay{500}; ///< after Retry-After was sent: requests already on their way still arrive
+constexpr int maxRequestsDuringBackoff = 2; ///< from one sender; more are logged
 constexpr const char *instanceHeader = "Yuccasaddle-Instance-Id";
 
-// A signature that a test can recompute from the id and the endpoint.
-std::string signatureOf(const std::string &requestId, const std::string &endpoint)
+// Returns a signature that tests can compute from the ids of request and endpoint.
+std::string responseSignature(const std::string &requestId, const std::string &endpoint)
 {
     char text[32];
     std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(ring::hash(requestId + "@" + endpoint)));
     return text;
 }
 
-// Callers of a soak name the router in their requests' ids: TEXT-ROUTER-NUMBER.
-std::string senderOf(const std::string &requestId)
+// Returns the router in a request id of a soak run, which has the form TEXT-ROUTER-NUMBER, or an empty text.
+std::string senderFromRequestId(const std::string &requestId)
 {
     const auto first = requestId.find('-');
     const auto last = requestId.rfind('-');
@@ -42,8 +42,8 @@
     return "id: " + std::to_string(number) + "\ndata: token" + std::to_string(number) + "\n\n";
 }
 
-// What an endpoint says of itself in all its answers.
-http::Headers withLeaving(http::Headers headers, bool leaving)
+// Adds the header that announces a leaving endpoint, which all responses carry.
+http::Headers addLeavingHeader(http::Headers headers, bool leaving)
 {
     if (leaving) {
         headers.emplace_back("Server-Leaving", "1");
@@ -53,10 +53,10 @@
 
 http::Headers notExecutedHeaders(const std::string &endpoint, bool leaving)
 {
-    return withLeaving({{"Yuccasaddle-Not-Executed", "1"}, {instanceHeader, endpoint}}, leaving);
+    return addLeavingHeader({{"Yuccasaddle-Not-Executed", "1"}, {instanceHeader, endpoint}}, leaving);
 }
 
-json entryOf(const EndpointOptions &o, bool leaving, Millis coldLeft, int64_t sequence, int64_t born)
+json makeEntry(const EndpointOptions &o, bool leaving, Millis coldRemaining, int64_t sequence, int64_t startTimeMs)
 {
     const auto port = o.advertisedPort != 0 ? o.advertisedPort : o.listen.port;
     return {{"service", o.service},
@@ -65,9 +65,9 @@
             {"version", "v1"},
             {"slots", o.slots},
             {"state", leaving ? "draining" : "ready"},
-            {"cold_remaining_ms", coldLeft.count()},
+            {"cold_remaining_ms", coldRemaining.count()},
             {"sequence", sequence},
-            {"born", born}};
+            {"born", startTimeMs}};
 }
 
 } // namespace
@@ -79,13 +79,13 @@
     if (!m_options.runLog.empty()) {
         m_runLog.open(m_options.runLog, std::ios::app);
     }
-    if (!m_options.restLog.empty()) {
-        m_restLog.open(m_options.restLog, std::ios::app);
+    if (!m_options.backoffViolationLog.empty()) {
+        m_backoffViolationLog.open(m_options.backoffViolationLog, std::ios::app);
     }
 }
 
-// Written before the work begins, so that it outlives the process.
-void EndpointServer::noteRun(const std::string &id)
+// The line is written before the work begins, so that it is kept if the process crashes.
+void EndpointServer::recordRun(const std::string &id)
 {
     ++m_runs[id];
     if (m_runLog.is_open()) {
@@ -96,68 +96,68 @@
 Task<void> EndpointServer::heartbeat()
 {
     for (;;) {
-        const json entry = entryOf(m_options, m_leaving, coldLeft(), ++m_sequence, m_born);
+        const json entry = makeEntry(m_options, m_leaving, coldRemaining(), ++m_sequence, m_startTimeMs);
         co_await m_store.put("servers", m_options.id, entry, std::nullopt);
-        co_await sleepFor(m_options.heartbeat);
+        co_await sleepFor(m_options.heartbeatInterval);
     }
 }
 
-Millis EndpointServer::coldLeft() const
+Millis EndpointServer::coldRemaining() const
 {
     return std::max(Millis(0), std::chrono::ceil<Millis>(m_startedAt + m_options.coldFor - Clock::now()));
 }
 
-// Requests that were held up on their way may arrive together: what is sent in
-// a second is bounded, so what has arrived since the start is as well.
-void EndpointServer::countWhileCold()
+// Crashes the endpoint if a cold endpoint has received too many requests. The limit counts all requests since the
+// start: delayed requests may arrive together, so a count per second could exceed the rate at which they were sent.
+void EndpointServer::checkColdLimit()
 {
-    if (coldLeft() == Millis(0)) {
+    if (coldRemaining() == Millis(0)) {
         return;
     }
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(Clock::now() - m_startedAt).count();
-    if (++m_requestsWhileCold > m_options.coldMost * seconds) {
+    if (++m_requestsWhileCold > m_options.maxColdRequestsPerS * seconds) {
         std::_Exit(endedWhileCold);
     }
 }
 
-http::Headers EndpointServer::answerHeaders(const http::Exchange &ex) const
+http::Headers EndpointServer::responseHeaders(const http::Exchange &ex) const
 {
     const std::string id = ex.header(attemptIdHeader);
     const http::Headers headers{{attemptIdHeader, id},
-                                {"Yuccasaddle-Response-Signature", signatureOf(id, m_options.id)},
+                                {"Yuccasaddle-Response-Signature", responseSignature(id, m_options.id)},
                                 {"Yuccasaddle-Server-Load", std::to_string(m_running) + ",0," + std::to_string(m_options.slots)},
                                 {instanceHeader, m_options.id},
                                 {"Keep-Alive", "timeout=5"}};
-    return withLeaving(headers, m_leaving);
+    return addLeavingHeader(headers, m_leaving);
 }
 
-Task<void> EndpointServer::refuse(http::Exchange &ex, unsigned status)
+Task<void> EndpointServer::reject(http::Exchange &ex, unsigned status)
 {
     const auto headers = notExecutedHeaders(m_options.id, m_leaving);
     co_await ex.reply(status, "", headers, "");
 }
 
-void EndpointServer::countWhileResting(const std::string &sender)
+void EndpointServer::checkBackoff(const std::string &sender)
 {
-    const auto it = m_rests.find(sender);
+    const auto it = m_backoffs.find(sender);
     const auto now = Clock::now();
-    if (sender.empty() || it == m_rests.end() || now < it->second.from || now >= it->second.until) {
+    if (sender.empty() || it == m_backoffs.end() || now < it->second.from || now >= it->second.until) {
         return;
     }
-    if (++it->second.got == mostWhileResting + 1 && m_restLog.is_open()) {
-        m_restLog << unixMs() << " " << sender << std::endl;
+    if (++it->second.requests == maxRequestsDuringBackoff + 1 && m_backoffViolationLog.is_open()) {
+        m_backoffViolationLog << unixMs() << " " << sender << std::endl;
     }
 }
 
-// Refuses for want of room, and asks for rest where a test says so.
-Task<void> EndpointServer::turnAway(http::Exchange &ex)
+// Rejects a request because all slots are busy, with Retry-After if a test has set one.
+Task<void> EndpointServer::rejectForCapacity(http::Exchange &ex)
 {
     auto headers = notExecutedHeaders(m_options.id, m_leaving);
     if (m_faults.restMs > 0) {
         const auto now = Clock::now();
-        auto &rest = m_rests[senderOf(ex.header(attemptIdHeader))];
-        if (now >= rest.until) {
-            rest = {now + restBegins, now + Millis(m_faults.restMs), 0};
+        auto &backoff = m_backoffs[senderFromRequestId(ex.header(attemptIdHeader))];
+        if (now >= backoff.until) {
+            backoff = {now + backoffStartDelay, now + Millis(m_faults.restMs), 0};
         }
         headers.emplace_back("Retry-After", std::to_string(m_faults.restMs / 1000.0));
     }
@@ -173,60 +173,60 @@
     const std::string expected = ex.header("Yuccasaddle-Expected-Instance");
     if (ex.path() == "/health") {
         auto headers = notExecutedHeaders(m_options.id, m_leaving);
-        if (coldLeft() > Millis(0)) {
-            headers.emplace_back("Yuccasaddle-Cold-Ms", std::to_string(coldLeft().count()));
+        if (coldRemaining() > Millis(0)) {
+            headers.emplace_back("Yuccasaddle-Cold-Ms", std::to_string(coldRemaining().count()));
         }
         co_await ex.reply(m_leaving ? 503 : 200, "", headers, "");
         co_return;
     }
     if (!expected.empty() && expected != m_options.id) {
-        co_await refuse(ex, 421);
+        co_await reject(ex, 421);
         co_return;
     }
     if (ex.header(attemptIdHeader).empty()) {
-        co_await refuse(ex, 400);
+        co_await reject(ex, 400);
         co_return;
     }
-    countWhileCold();
-    countWhileResting(senderOf(ex.header(attemptIdHeader)));
+    checkColdLimit();
+    checkBackoff(senderFromRequestId(ex.header(attemptIdHeader)));
     if (m_faults.shed || m_running >= m_options.slots) {
-        co_await turnAway(ex);
+        co_await rejectForCapacity(ex);
     } else {
         ++m_running;
-        noteRun(ex.header(attemptIdHeader));
-        if (!m_options.endsUnder.empty() && ex.request().body() == m_options.endsUnder) {
+        recordRun(ex.header(attemptIdHeader));
+        if (!m_options.crashBody.empty() && ex.request().body() == m_options.crashBody) {
             co_await sleepFor(m_options.work);
             std::_Exit(endedUnderRequest);
         }
         if (m_options.streams) {
-            co_await answerStream(ex);
+            co_await sendStream(ex);
         } else {
-            co_await answerCall(ex);
+            co_await sendResponse(ex);
         }
         --m_running;
     }
 }
 
-Task<void> EndpointServer::answerCall(http::Exchange &ex)
+Task<void> EndpointServer::sendResponse(http::Exchange &ex)
 {
     co_await sleepFor(m_options.work);
     if (m_faults.loseAnswers) {
         ex.drop();
         co_return;
     }
-    const auto headers = answerHeaders(ex);
+    const auto headers = responseHeaders(ex);
     co_await ex.reply(m_faults.fail ? 500 : 200, "answer of " + m_options.id + " to " + ex.header(attemptIdHeader), headers, "text/plain");
 }
 
-Task<void> EndpointServer::answerStream(http::Exchange &ex)
+Task<void> EndpointServer::sendStream(http::Exchange &ex)
 {
     const int after = text::number<int>(ex.header("Last-Event-Id")).value_or(0);
-    const auto headers = answerHeaders(ex);
+    const auto headers = responseHeaders(ex);
     co_await ex.beginStream(200, "text/event-stream", headers);
     for (int i = after + 1; i <= m_options.events; ++i) {
         co_await sleepFor(m_options.eventGap);
         if (m_faults.cutAfter >= 0 && i > m_faults.cutAfter) {
-            co_await ex.sendChunk("id: " + std::to_string(i)); // breaks off mid-event
+            co_await ex.sendChunk("id: " + std::to_string(i)); // an incomplete event
             ex.drop();
             co_return;
         }
@@ -238,7 +238,7 @@
     co_await ex.endStream();
 }
 
-// POST /admin/faults, and GET /admin/runs: how often each request ran here.
+// Handles POST /admin/faults and GET /admin/runs (the number of executions by request id).
 Task<void> EndpointServer::admin(http::Exchange &ex)
 {
     if (ex.path() == "/admin/runs") {
--- a/emulators/endpoint_server.h
+++ b/emulators/endpoint_server.h
@@ -1,6 +1,5 @@
-// The stand-in for an endpoint on the users' platform: a model engine or a
-// plain service that registers itself in the store, with faults a test can
-// switch.
+// Emulates an endpoint of the users' platform: a model engine or a plain service that registers itself in the store.
+// Tests can switch faults on.
 #pragma once
 
 #include "http_server.h"
@@ -13,74 +12,75 @@
 namespace yucca::emulators
 {
 
-/// What an endpoint is.
+/// Settings of an emulated endpoint.
 struct EndpointOptions {
     std::string id = "i-1";
     std::string service = "service-1";
     std::string zone = "zone-a";
     http::Address listen{"127.0.0.1", 7300};
     http::Address store{"127.0.0.1", 7400};
-    bool streams = false; ///< answers with an event stream
-    int events = 5; ///< of a stream
-    Millis eventGap{20};
-    Millis work{10}; ///< of a plain call
-    int slots = 6;
-    uint16_t advertisedPort = 0; ///< that callers are told, where a proxy stands before it; 0: its own
-    std::string endsUnder; ///< a request with this body ends the process in the middle of its answer; empty: none
-    Millis coldFor{0}; ///< after its start
-    int coldMost = 0; ///< requests in any second that it bears while it is cold; more of them end the process
-    std::string restLog; ///< a file that gets a line with a sender that goes on in spite of a rest that was asked for; empty: none
-    std::string runLog; ///< a file that gets a line with a request's id before it runs; empty: none
-    Millis heartbeat{500};
-    Millis linger{1500}; ///< serves on after a stop signal
+    bool streams = false; ///< responds with event streams
+    int events = 5; ///< in a stream
+    Millis eventGap{20}; ///< before each event of a stream
+    Millis work{10}; ///< duration of a request that is not streamed
+    int slots = 6; ///< requests that run at the same time; more are rejected
+    uint16_t advertisedPort = 0; ///< registered port, for an endpoint behind a proxy; 0: the listen port
+    std::string crashBody; ///< a request with this body crashes the endpoint while it runs; empty: none
+    Millis coldFor{0}; ///< how long the endpoint is cold after its start
+    int maxColdRequestsPerS = 0; ///< requests per second that a cold endpoint withstands; more of them crash it
+    std::string backoffViolationLog; ///< file that lists the senders which did not respect Retry-After; empty: none
+    std::string runLog; ///< file that lists the id of each request before it runs; empty: none
+    Millis heartbeatInterval{500}; ///< between two updates of the entry in the store
+    Millis stopDelay{1500}; ///< continues to serve for this time after a stop signal
 };
 
-/// Exit code of an endpoint that a request ended.
+/// Exit code of an endpoint that a request crashed.
 inline constexpr int endedUnderRequest = 70;
-/// Exit code of an endpoint that got more than it bears while it was cold.
+/// Exit code of an endpoint that crashed because it received too many requests while it was cold.
 inline constexpr int endedWhileCold = 71;
 
-/// Faults, switched by POST /admin/faults with a JSON object of these names.
+/// Faults, set by POST /admin/faults with a JSON object of these names. Absent names are reset.
 struct EndpointFaults {
-    bool shed = false; ///< refuses every request without running it
-    int restMs = 0; ///< that it asks for with each refusal; 0: none
-    bool loseAnswers = false; ///< runs requests and closes without an answer
-    bool fail = false; ///< runs requests and answers 500
-    int cutAfter = -1; ///< breaks off streams after this event; -1: never
+    bool shed = false; ///< rejects every request without running it
+    int restMs = 0; ///< Retry-After of each rejection, in milliseconds; 0: none
+    bool loseAnswers = false; ///< runs requests and closes the connection without a response
+    bool fail = false; ///< runs requests and responds with status 500
+    int cutAfter = -1; ///< closes the connection after this event of a stream; -1: never
 };
 
-/// One endpoint's handlers. One event loop.
+/// The request handlers of one endpoint. Used from one event loop.
 class EndpointServer
 {
 public:
     explicit EndpointServer(EndpointOptions options);
 
+    /// Responds to one request.
     Task<void> handle(http::Exchange &ex);
-    /// Registers the endpoint and keeps its entry fresh until told to leave.
+    /// Writes the entry of the endpoint to the store at every heartbeat interval. Never returns.
     Task<void> heartbeat();
-    /// From now on the entry says that the endpoint is leaving.
+    /// Marks the endpoint as leaving, in its entry and its responses.
     void leave()
     {
         m_leaving = true;
     }
 
 private:
-    /// A time for which a sender was asked to send nothing.
-    struct Rest {
+    /// The time in which a sender should send nothing, because it received Retry-After.
+    struct BackoffPeriod {
         Clock::time_point from;
         Clock::time_point until;
-        int got = 0; ///< requests meanwhile
+        int requests = 0; ///< requests received in that time
     };
-    void countWhileResting(const std::string &sender);
+    void checkBackoff(const std::string &sender);
     Task<void> admin(http::Exchange &ex);
-    void noteRun(const std::string &id);
-    Millis coldLeft() const;
-    void countWhileCold();
-    Task<void> refuse(http::Exchange &ex, unsigned status);
-    Task<void> turnAway(http::Exchange &ex);
-    Task<void> answerCall(http::Exchange &ex);
-    Task<void> answerStream(http::Exchange &ex);
-    http::Headers answerHeaders(const http::Exchange &ex) const;
+    void recordRun(const std::string &id);
+    Millis coldRemaining() const;
+    void checkColdLimit();
+    Task<void> reject(http::Exchange &ex, unsigned status);
+    Task<void> rejectForCapacity(http::Exchange &ex);
+    Task<void> sendResponse(http::Exchange &ex);
+    Task<void> sendStream(http::Exchange &ex);
+    http::Headers responseHeaders(const http::Exchange &ex) const;
 
     EndpointOptions m_options;
     platform::StoreClient m_store;
@@ -90,11 +90,12 @@
     int64_t m_sequence = 0;
     const Clock::time_point m_startedAt = Clock::now();
     int m_requestsWhileCold = 0;
-    int64_t m_born = std::chrono::duration_cast<Millis>(std::chrono::system_clock::now().time_since_epoch()).count(); ///< Unix ms
-    std::map<std::string, int> m_runs; ///< by request id
+    /// Unix time in milliseconds.
+    int64_t m_startTimeMs = std::chrono::duration_cast<Millis>(std::chrono::system_clock::now().time_since_epoch()).count();
+    std::map<std::string, int> m_runs; ///< executions by request id
     std::ofstream m_runLog;
-    std::map<std::string, Rest> m_rests; ///< by sender
-    std::ofstream m_restLog;
+    std::map<std::string, BackoffPeriod> m_backoffs; ///< by sender
+    std::ofstream m_backoffViolationLog;
 };
 
 } // namespace yucca::emulators
--- a/emulators/engine_core.cpp
+++ b/emulators/engine_core.cpp
@@ -53,22 +53,22 @@
     m_index.clear();
 }
 
-CacheEvents::CacheEvents(std::chrono::milliseconds lag, int64_t lossPercent, std::size_t kept)
+CacheEvents::CacheEvents(std::chrono::milliseconds lag, int64_t lossPercent, std::size_t maxEvents)
     : m_lag(lag)
     , m_lossPercent(lossPercent)
-    , m_kept(kept)
+    , m_maxEvents(maxEvents)
 {
 }
 
 void CacheEvents::record(bool added, uint64_t block, Clock::time_point now)
 {
-    const CacheEvent event{m_next++, added, block};
+    const CacheEvent event{m_nextSequence++, added, block};
     const bool lost = static_cast<int64_t>(ring::hash("loss", event.sequence) % 100) < m_lossPercent;
     if (lost) {
         return;
     }
     m_events.emplace_back(now, event);
-    while (m_events.size() > m_kept) {
+    while (m_events.size() > m_maxEvents) {
         m_events.pop_front();
     }
 }
@@ -86,12 +86,12 @@
 
 uint64_t CacheEvents::oldest() const
 {
-    return m_events.empty() ? m_next : m_events.front().second.sequence;
+    return m_events.empty() ? m_nextSequence : m_events.front().second.sequence;
 }
 
-SlotPool::SlotPool(std::size_t slots, std::size_t queue)
+SlotPool::SlotPool(std::size_t slots, std::size_t maxQueue)
     : m_slots(slots)
-    , m_queueLimit(queue)
+    , m_maxQueue(maxQueue)
 {
 }
 
@@ -101,15 +101,15 @@
         ++m_busy;
         co_return true;
     }
-    if (m_queue.size() >= m_queueLimit) {
+    if (m_queue.size() >= m_maxQueue) {
         co_return false;
     }
     asio::steady_timer timer(co_await asio::this_coro::executor, deadline);
-    const std::pair key{priority, m_ticket++};
+    const std::pair key{priority, m_nextArrival++};
     m_queue.emplace(key, &timer);
     boost::system::error_code ec;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
-    // release() takes a request off the queue when it hands it its slot.
+    // release() removes a request from the queue when it hands over a slot; otherwise the deadline has passed.
     co_return m_queue.erase(key) == 0;
 }
 
@@ -133,7 +133,7 @@
 void LoadHistory::record(Clock::time_point now, int64_t load)
 {
     m_samples.emplace_back(now, load);
-    // Keep one sample older than the lag; drop the rest of the old ones.
+    // reported() needs one sample that is older than the lag; earlier ones are dropped.
     while (m_samples.size() > 1 && m_samples[1].first <= now - m_lag) {
         m_samples.pop_front();
     }
@@ -151,18 +151,18 @@
 }
 
 FencingGate::FencingGate(bool check)
-    : m_check(check)
+    : m_checkFence(check)
 {
 }
 
 Result<uint64_t> FencingGate::admit(const Order &order)
 {
-    if (m_check && order.fence < m_highest) {
-        return Error{409, "fencing number " + std::to_string(order.fence) + " is below " + std::to_string(m_highest)};
+    if (m_checkFence && order.fence < m_highestFence) {
+        return Error{409, "fencing number " + std::to_string(order.fence) + " is below " + std::to_string(m_highestFence)};
     }
-    m_highest = std::max(m_highest, order.fence);
+    m_highestFence = std::max(m_highestFence, order.fence);
     m_applied.push_back(order);
-    return m_highest;
+    return m_highestFence;
 }
 
 std::vector<std::string> answerTokens(uint64_t seed, std::size_t count)
--- a/emulators/engine_main.cpp
+++ b/emulators/engine_main.cpp
@@ -1,5 +1,4 @@
-// yucca-engine: the stand-in for a model engine or, with kind "service",
-// for a plain service.
+// yucca-engine: emulates a model engine or, with --kind service, a plain service.
 #include "cli.h"
 #include "engine_server.h"
 #include "log.h"
--- a/emulators/engine_server.cpp
+++ b/emulators/engine_server.cpp
@@ -15,14 +15,13 @@
 namespace
 {
 
-constexpr Millis operationTime{5}; ///< work of one plain service operation
+constexpr Millis operationDuration{5}; ///< of one operation of a plain service
 constexpr int64_t defaultDeadlineMs = 600000;
-constexpr int64_t mostTokens = 4096;
+constexpr int64_t maxResponseTokens = 4096;
 
-// GCC 12 cannot keep braced lists in a coroutine's frame, so every JSON body
-// is made in a plain function.
+// GCC 12 cannot keep braced initializer lists in a coroutine frame, so JSON bodies are made in plain functions.
 
-json usageOf(std::size_t promptTokens, std::size_t cachedTokens, std::size_t answerTokens)
+json makeUsage(std::size_t promptTokens, std::size_t cachedTokens, std::size_t answerTokens)
 {
     return {{"prompt_tokens", promptTokens},
             {"completion_tokens", answerTokens},
@@ -30,31 +29,31 @@
             {"prompt_tokens_details", {{"cached_tokens", cachedTokens}}}};
 }
 
-// One chunk of a streamed answer.
-json chunkOf(const std::string &id, const std::string &model, const std::string &token)
+// Returns one chunk of a streamed response.
+json makeChunk(const std::string &id, const std::string &model, const std::string &token)
 {
     const json choice{{"index", 0}, {"delta", {{"content", token + " "}}}};
     return {{"id", id}, {"object", "chat.completion.chunk"}, {"model", model}, {"choices", json::array({choice})}};
 }
 
-// The last chunk of a streamed answer.
-json lastChunkOf(const std::string &id, const std::string &model, const json &usage)
+// Returns the last chunk of a streamed response.
+json makeLastChunk(const std::string &id, const std::string &model, const json &usage)
 {
     const json choice{{"index", 0}, {"delta", json::object()}, {"finish_reason", "stop"}};
     return {{"id", id}, {"object", "chat.completion.chunk"}, {"model", model}, {"choices", json::array({choice})}, {"usage", usage}};
 }
 
-// A whole answer.
-json completionOf(const std::string &id, const std::string &model, const std::string &content, const json &usage)
+// Returns a response that is not streamed.
+json makeCompletion(const std::string &id, const std::string &model, const std::string &content, const json &usage)
 {
     const json message{{"role", "assistant"}, {"content", content}};
     const json choice{{"index", 0}, {"message", message}, {"finish_reason", "stop"}};
     return {{"id", id}, {"object", "chat.completion"}, {"model", model}, {"choices", json::array({choice})}, {"usage", usage}};
 }
 
-json errorOf(const std::string &why, const char *type)
+json makeError(const std::string &reason, const char *type)
 {
-    return {{"error", {{"message", why}, {"type", type}}}};
+    return {{"error", {{"message", reason}, {"type", type}}}};
 }
 
 Order parseOrder(const json &body)
@@ -62,17 +61,17 @@
     return {body.value("kind", ""), body.value("argument", ""), body.value("fence", uint64_t{0}), body.value("holder", "")};
 }
 
-json confirmationOf(const std::string &operation, const std::string &confirmation)
+json makeConfirmation(const std::string &operation, const std::string &confirmation)
 {
     return {{"operation", operation}, {"confirmation", confirmation}};
 }
 
-json appliedOf(const std::string &kind, uint64_t fence)
+json makeApplied(const std::string &kind, uint64_t fence)
 {
     return {{"applied", kind}, {"fence", fence}};
 }
 
-// One server-sent event with an id and a JSON body.
+// Formats a server-sent event.
 std::string sseEvent(uint64_t id, const json &data)
 {
     return "id: " + std::to_string(id) + "\ndata: " + data.dump() + "\n\n";
@@ -98,11 +97,11 @@
     const std::string path = ex.path();
     const bool post = ex.request().method() == http::bhttp::verb::post;
     if (post && path == "/v1/chat/completions") {
-        co_await complete(ex);
+        co_await handleChat(ex);
     } else if (post && path.rfind("/v1/ops/", 0) == 0) {
-        co_await operate(ex, path.substr(8));
+        co_await handleOperation(ex, path.substr(8));
     } else if (post && path == "/v1/orders") {
-        co_await order(ex);
+        co_await handleOrder(ex);
     } else if (post && path == "/v1/kv/export") {
         co_await exportKv(ex);
     } else if (post && path == "/v1/kv/import") {
@@ -130,24 +129,24 @@
     }
 }
 
-// Counts a request in or out of flight and keeps the lagged report.
-void EngineServer::track(int delta)
+// Changes the number of requests in flight and records it for the load reports.
+void EngineServer::updateInflight(int delta)
 {
     m_inflight += delta;
-    m_peak = std::max(m_peak, m_inflight);
+    m_peakInflight = std::max(m_peakInflight, m_inflight);
     m_load.record(Clock::now(), m_inflight);
 }
 
-// Notes that a request arrived, and how long after a drain began.
-void EngineServer::noteArrival()
+// Counts a request that arrived and, while draining, records the time since the drain began.
+void EngineServer::recordArrival()
 {
     ++m_served;
     if (m_draining) {
-        m_lateArrivalsMs.push_back(std::chrono::duration_cast<Millis>(Clock::now() - m_drainSince).count());
+        m_lateArrivalsMs.push_back(std::chrono::duration_cast<Millis>(Clock::now() - m_drainStartedAt).count());
     }
 }
 
-http::Headers EngineServer::answerHeaders(const std::string &requestId)
+http::Headers EngineServer::responseHeaders(const std::string &requestId)
 {
     std::string echoed = requestId;
     if (m_faults.mixAnswers > 0) {
@@ -160,17 +159,17 @@
             {"x-engine-draining", m_draining ? "true" : "false"}};
 }
 
-// Refuses a request that has not run and will not.
-Task<void> EngineServer::refuse(http::Exchange &ex, std::string why)
+// Rejects a request that was not executed.
+Task<void> EngineServer::reject(http::Exchange &ex, std::string reason)
 {
-    ++m_refused;
-    http::Headers headers = answerHeaders(ex.header("x-request-id"));
+    ++m_rejected;
+    http::Headers headers = responseHeaders(ex.header("x-request-id"));
     headers.emplace_back("x-not-executed", "true");
     headers.emplace_back("Retry-After", "1");
-    co_await ex.reply(503, errorOf(why, "not_executed").dump(), std::move(headers));
+    co_await ex.reply(503, makeError(reason, "not_executed").dump(), std::move(headers));
 }
 
-EngineServer::Generation EngineServer::parse(const http::Exchange &ex, const json &body)
+EngineServer::Generation EngineServer::parseChat(const http::Exchange &ex, const json &body)
 {
     Generation g;
     const std::string prompt = prefix::promptText(body["messages"]);
@@ -181,39 +180,39 @@
     g.model = body.value("model", m_model);
     g.requestId = ex.header("x-request-id");
     g.resumeAfter = static_cast<uint64_t>(std::max<int64_t>(0, text::number(ex.header("last-event-id")).value_or(0)));
-    const auto count = static_cast<std::size_t>(std::clamp<int64_t>(body.value("max_tokens", int64_t{16}), 1, mostTokens));
+    const auto count = static_cast<std::size_t>(std::clamp<int64_t>(body.value("max_tokens", int64_t{16}), 1, maxResponseTokens));
     g.answer = answerTokens(ring::hash(prompt), count);
     return g;
 }
 
-// Serves one chat completion: a decode slot, the prompt, then the tokens.
-Task<void> EngineServer::complete(http::Exchange &ex)
+// Handles one chat completion: waits for a decode slot, reads the prompt, then generates the tokens.
+Task<void> EngineServer::handleChat(http::Exchange &ex)
 {
-    noteArrival();
+    recordArrival();
     const json body = json::parse(ex.request().body(), nullptr, false);
     if (!body.is_object() || !body.contains("messages")) {
-        co_await ex.reply(400, R"({"error":{"message":"messages required","type":"invalid_request_error"}})", answerHeaders(ex.header("x-request-id")));
+        co_await ex.reply(400, R"({"error":{"message":"messages required","type":"invalid_request_error"}})", responseHeaders(ex.header("x-request-id")));
         co_return;
     }
-    auto g = parse(ex, body);
+    auto g = parseChat(ex, body);
     const auto deadline = Clock::now() + Millis(text::number(ex.header("x-deadline-ms")).value_or(defaultDeadlineMs));
-    track(+1);
+    updateInflight(+1);
     const bool admitted = co_await m_slots.acquire(text::number(ex.header("x-priority")).value_or(5), deadline);
     if (!admitted) {
-        track(-1);
-        co_await refuse(ex, "queue full or deadline passed in the queue");
+        updateInflight(-1);
+        co_await reject(ex, "queue full or deadline passed in the queue");
         co_return;
     }
     if (ex.callerGone()) {
-        ++m_cancelled; // it left while it waited
+        ++m_cancelled; // the caller left the queue
     } else {
         co_await generate(ex, g);
     }
     m_slots.release();
-    track(-1);
+    updateInflight(-1);
 }
 
-// Reads the prompt, as far as it is not cached, and generates the answer.
+// Reads the part of the prompt that is not cached, and generates the response.
 Task<void> EngineServer::generate(http::Exchange &ex, Generation &g)
 {
     const std::size_t cachedBlocks = m_cache.match(g.blocks);
@@ -224,83 +223,82 @@
     const auto unread = static_cast<int64_t>(g.promptTokens - std::min(g.promptTokens, g.cachedTokens));
     co_await sleepFor(std::chrono::microseconds(unread * 1000000 / m_settings.prefillTokensPerS));
     m_cache.insert(g.blocks);
-    const bool delivered = g.stream ? co_await streamAnswer(ex, g) : co_await wholeAnswer(ex, g);
+    const bool delivered = g.stream ? co_await streamCompletion(ex, g) : co_await sendCompletion(ex, g);
     m_cancelled += delivered ? 0 : 1;
 }
 
-// The time of one token: the fuller the batch, the longer.
-std::chrono::microseconds EngineServer::tokenPace() const
+// Returns the time to generate one token, which grows with the number of busy slots.
+std::chrono::microseconds EngineServer::timePerToken() const
 {
     const double fill = static_cast<double>(m_slots.busy()) / static_cast<double>(m_settings.slots);
     return std::chrono::microseconds(static_cast<int64_t>(1e6 * (1 + fill) / static_cast<double>(m_settings.tokensPerS)));
 }
 
-// Streams the answer as server-sent events, from where it was broken off;
-// false when the caller left before the end.
-Task<bool> EngineServer::streamAnswer(http::Exchange &ex, const Generation &g)
+// Streams the response as server-sent events, after the last event that the caller has received. Returns false if the
+// caller left before the end.
+Task<bool> EngineServer::streamCompletion(http::Exchange &ex, const Generation &g)
 {
     const std::string id = "chatcmpl-" + g.requestId;
     const bool cut = m_faults.cutStreams > 0;
     m_faults.cutStreams -= cut ? 1 : 0;
     int64_t sent = 0;
-    co_await ex.beginStream(200, "text/event-stream", answerHeaders(g.requestId));
+    co_await ex.beginStream(200, "text/event-stream", responseHeaders(g.requestId));
     for (uint64_t event = g.resumeAfter + 1; event <= g.answer.size(); ++event) {
-        co_await sleepFor(tokenPace());
+        co_await sleepFor(timePerToken());
         if (cut && sent == m_faults.cutAfter) {
             ex.drop();
             co_return true;
         }
-        const json chunk = chunkOf(id, g.model, g.answer[event - 1]);
+        const json chunk = makeChunk(id, g.model, g.answer[event - 1]);
         const bool delivered = co_await ex.sendChunk(sseEvent(event, chunk));
         if (!delivered) {
-            co_return false; // cancelled: stop decoding
+            co_return false; // the caller left: decoding stops
         }
         ++sent;
     }
-    const json last = lastChunkOf(id, g.model, usageOf(g.promptTokens, g.cachedTokens, g.answer.size()));
+    const json last = makeLastChunk(id, g.model, makeUsage(g.promptTokens, g.cachedTokens, g.answer.size()));
     co_await ex.sendChunk(sseEvent(g.answer.size() + 1, last) + "data: [DONE]\n\n");
     co_await ex.endStream();
     co_return true;
 }
 
-// Answers whole; false when the caller left before the end.
-Task<bool> EngineServer::wholeAnswer(http::Exchange &ex, const Generation &g)
+// Sends the response at once when it is complete. Returns false if the caller left before that.
+Task<bool> EngineServer::sendCompletion(http::Exchange &ex, const Generation &g)
 {
     std::string content;
     for (const auto &token : g.answer) {
-        co_await sleepFor(tokenPace());
+        co_await sleepFor(timePerToken());
         if (ex.callerGone()) {
             co_return false;
         }
         content += token + " ";
     }
-    const json usage = usageOf(g.promptTokens, g.cachedTokens, g.answer.size());
-    const json answer = completionOf("chatcmpl-" + g.requestId, g.model, content, usage);
-    co_await ex.reply(200, answer.dump(), answerHeaders(g.requestId));
+    const json usage = makeUsage(g.promptTokens, g.cachedTokens, g.answer.size());
+    const json answer = makeCompletion("chatcmpl-" + g.requestId, g.model, content, usage);
+    co_await ex.reply(200, answer.dump(), responseHeaders(g.requestId));
     co_return true;
 }
 
-// Runs one operation of a plain service and records the execution.
-Task<void> EngineServer::operate(http::Exchange &ex, std::string operation)
+// Executes an operation of a plain service and records it.
+Task<void> EngineServer::handleOperation(http::Exchange &ex, std::string operation)
 {
-    noteArrival();
-    track(+1);
-    co_await sleepFor(operationTime);
+    recordArrival();
+    updateInflight(+1);
+    co_await sleepFor(operationDuration);
     const std::string key = ex.header("idempotency-key");
     const auto confirmation = m_executions.execute(operation, key.empty() ? ex.header("x-request-id") : key);
-    track(-1);
+    updateInflight(-1);
     if (m_faults.loseAnswers > 0) {
         --m_faults.loseAnswers;
-        ex.drop(); // it ran; its answer is lost
+        ex.drop(); // the operation ran; its response is lost
         co_return;
     }
-    const json answer = confirmationOf(operation, m_settings.id + "-" + std::to_string(confirmation));
-    co_await ex.reply(200, answer.dump(), answerHeaders(ex.header("x-request-id")));
+    const json answer = makeConfirmation(operation, m_settings.id + "-" + std::to_string(confirmation));
+    co_await ex.reply(200, answer.dump(), responseHeaders(ex.header("x-request-id")));
 }
 
-// Takes an order; one with an old fencing number is refused, unless this
-// deployment's engines ignore the number.
-Task<void> EngineServer::order(http::Exchange &ex)
+// Handles an order. An order with an old fencing token is rejected, unless the engine is set not to check it.
+Task<void> EngineServer::handleOrder(http::Exchange &ex)
 {
     const json body = json::parse(ex.request().body(), nullptr, false);
     if (!body.is_object()) {
@@ -311,19 +309,19 @@
     auto admitted = m_fencing.admit(o);
     if (!ok(admitted)) {
         log::event(log::Event::OrderRefused, "kind=" + o.kind + " fence=" + std::to_string(o.fence));
-        co_await ex.reply(409, errorOf(std::get<Error>(admitted).message, "stale_fence").dump());
+        co_await ex.reply(409, makeError(std::get<Error>(admitted).message, "stale_fence").dump());
         co_return;
     }
     log::event(log::Event::OrderAccepted, "kind=" + o.kind + " fence=" + std::to_string(o.fence));
-    apply(o);
-    co_await ex.reply(200, appliedOf(o.kind, std::get<uint64_t>(admitted)).dump(), answerHeaders(ex.header("x-request-id")));
+    applyOrder(o);
+    co_await ex.reply(200, makeApplied(o.kind, std::get<uint64_t>(admitted)).dump(), responseHeaders(ex.header("x-request-id")));
 }
 
-void EngineServer::apply(const Order &order)
+void EngineServer::applyOrder(const Order &order)
 {
     if (order.kind == "drain") {
         m_draining = true;
-        m_drainSince = Clock::now();
+        m_drainStartedAt = Clock::now();
         log::event(log::Event::Draining, "id=" + m_settings.id);
     } else if (order.kind == "undrain") {
         m_draining = false;
@@ -334,7 +332,7 @@
     }
 }
 
-// The cached blocks of a prompt, to be imported by another engine.
+// Responds with the leading cached blocks of a prompt, to be imported by another engine.
 Task<void> EngineServer::exportKv(http::Exchange &ex)
 {
     const json body = json::parse(ex.request().body(), nullptr, false);
@@ -386,7 +384,7 @@
 void EngineServer::reset()
 {
     m_cache.clear();
-    m_served = m_peak = m_refused = m_cancelled = m_resumed = 0;
+    m_served = m_peakInflight = m_rejected = m_cancelled = m_resumed = 0;
     m_promptTokens = m_cachedTokens = 0;
     m_lateArrivalsMs.clear();
 }
@@ -412,10 +410,10 @@
     return {{"id", m_settings.id},
             {"model", m_model},
             {"served", m_served},
-            {"refused", m_refused},
+            {"refused", m_rejected},
             {"cancelled", m_cancelled},
             {"resumed", m_resumed},
-            {"peakInflight", m_peak},
+            {"peakInflight", m_peakInflight},
             {"promptTokens", m_promptTokens},
             {"cachedTokens", m_cachedTokens},
             {"draining", m_draining},
--- a/emulators/engine_server.h
+++ b/emulators/engine_server.h
@@ -1,5 +1,4 @@
-// The engine stand-in: a model engine that speaks the OpenAI-style chat
-// API, or a plain service whose operations are not idempotent.
+// Emulates a model engine with an OpenAI-style chat API, or a plain service whose operations are not idempotent.
 #pragma once
 
 #include "engine_core.h"
@@ -14,16 +13,16 @@
 namespace yucca::engine
 {
 
-/// The state of one engine stand-in and its HTTP handlers. One event loop.
+/// The state and the request handlers of one emulated engine. Used from one event loop.
 class EngineServer
 {
 public:
     explicit EngineServer(const settings::EngineSettings &settings);
-    /// Answers one request.
+    /// Responds to one request.
     Task<void> handle(http::Exchange &ex);
 
 private:
-    /// A chat request as it was read.
+    /// A parsed chat request.
     struct Generation {
         std::string requestId;
         std::string model;
@@ -34,31 +33,31 @@
         uint64_t resumeAfter = 0; ///< Last-Event-Id of a resumed stream
         bool stream = false;
     };
-    /// Faults switched on through POST /admin/faults.
+    /// Faults, set by POST /admin/faults with a JSON object of these names.
     struct Faults {
-        int64_t cutStreams = 0; ///< the next N streams break off after cutAfter events
+        int64_t cutStreams = 0; ///< the connections of the next N streams are closed after cutAfter events
         int64_t cutAfter = 3;
-        int64_t loseAnswers = 0; ///< the next N operations run and get no answer
-        int64_t mixAnswers = 0; ///< the next N answers carry another request's id
+        int64_t loseAnswers = 0; ///< the next N operations run and get no response
+        int64_t mixAnswers = 0; ///< the next N responses carry another request's id
     };
 
-    Task<void> complete(http::Exchange &ex);
+    Task<void> handleChat(http::Exchange &ex);
     Task<void> generate(http::Exchange &ex, Generation &g);
-    Task<bool> streamAnswer(http::Exchange &ex, const Generation &g);
-    Task<bool> wholeAnswer(http::Exchange &ex, const Generation &g);
-    Task<void> operate(http::Exchange &ex, std::string operation);
-    Task<void> order(http::Exchange &ex);
+    Task<bool> streamCompletion(http::Exchange &ex, const Generation &g);
+    Task<bool> sendCompletion(http::Exchange &ex, const Generation &g);
+    Task<void> handleOperation(http::Exchange &ex, std::string operation);
+    Task<void> handleOrder(http::Exchange &ex);
     Task<void> exportKv(http::Exchange &ex);
     Task<void> importKv(http::Exchange &ex);
-    Task<void> refuse(http::Exchange &ex, std::string why);
+    Task<void> reject(http::Exchange &ex, std::string reason);
     Task<void> setFaults(http::Exchange &ex);
 
-    Generation parse(const http::Exchange &ex, const nlohmann::json &body);
-    http::Headers answerHeaders(const std::string &requestId);
-    std::chrono::microseconds tokenPace() const;
-    void track(int delta);
-    void noteArrival();
-    void apply(const Order &order);
+    Generation parseChat(const http::Exchange &ex, const nlohmann::json &body);
+    http::Headers responseHeaders(const std::string &requestId);
+    std::chrono::microseconds timePerToken() const;
+    void updateInflight(int delta);
+    void recordArrival();
+    void applyOrder(const Order &order);
     void reset();
     nlohmann::json loadReport() const;
     nlohmann::json stats() const;
@@ -76,12 +75,12 @@
     std::string m_model = "counsel";
     std::string m_role = "unified";
     bool m_draining = false;
-    Clock::time_point m_drainSince;
-    std::vector<int64_t> m_lateArrivalsMs;
+    Clock::time_point m_drainStartedAt;
+    std::vector<int64_t> m_lateArrivalsMs; ///< arrivals while draining, in milliseconds since the drain began
     int64_t m_inflight = 0;
-    int64_t m_peak = 0;
+    int64_t m_peakInflight = 0;
     int64_t m_served = 0;
-    int64_t m_refused = 0;
+    int64_t m_rejected = 0;
     int64_t m_cancelled = 0;
     int64_t m_resumed = 0;
     int64_t m_promptTokens = 0;
--- a/emulators/experiment.cpp
+++ b/emulators/experiment.cpp
@@ -15,14 +15,14 @@
 namespace
 {
 
-constexpr int largePercent = 60; ///< of the conversations
-constexpr int callerTries = 4; ///< a caller asks again after a not-run answer
-constexpr int questionTokens = 24;
-constexpr std::size_t problemsKept = 10;
+constexpr int largePercent = 60; ///< of the conversations belong to large workspaces
+constexpr int maxCallerAttempts = 4; ///< attempts of a caller, who retries after outcome not_run
+constexpr int questionTokens = 24; ///< of one turn
+constexpr std::size_t maxProblems = 10;
 constexpr int histogramBins = 2000;
 
-// A number of made-up words, the same for the same seed.
-std::string words(uint64_t seed, int count)
+// Returns a text of pseudo-random words, the same for the same seed.
+std::string randomWords(uint64_t seed, int count)
 {
     std::string out;
     for (int i = 0; i < count; ++i) {
@@ -31,7 +31,7 @@
     return out;
 }
 
-json messageOf(const char *role, const std::string &content)
+json makeMessage(const char *role, const std::string &content)
 {
     return {{"role", role}, {"content", content}};
 }
@@ -58,33 +58,33 @@
 
 } // namespace
 
-Tally::Tally()
+Counters::Counters()
     : timeToFirst(boost::histogram::make_histogram(boost::histogram::axis::regular<>(histogramBins, 0.0, 10000.0)))
     , timeBetween(boost::histogram::make_histogram(boost::histogram::axis::regular<>(histogramBins, 0.0, 2000.0)))
 {
 }
 
 Experiment::Experiment(Options options)
-    : m_o(std::move(options))
-    , m_platform(m_o.platform)
+    : m_options(std::move(options))
+    , m_platform(m_options.platform)
 {
 }
 
-bool Experiment::over() const
+bool Experiment::isOver() const
 {
-    return m_issued >= m_o.maxRequests || Clock::now() - m_started > std::chrono::seconds(m_o.durationS);
+    return m_issued >= m_options.maxRequests || Clock::now() - m_started > std::chrono::seconds(m_options.durationS);
 }
 
-// The platform's balancer spreads the callers; a retry reaches another router.
-const http::Address &Experiment::router(int salt) const
+// Picks a router by a number. Callers are spread over the routers, and a retry goes to another one.
+const http::Address &Experiment::pickRouter(int routerNumber) const
 {
-    return m_o.routers[static_cast<std::size_t>(salt) % m_o.routers.size()];
+    return m_options.routers[static_cast<std::size_t>(routerNumber) % m_options.routers.size()];
 }
 
-void Experiment::problem(std::string text)
+void Experiment::addProblem(std::string text)
 {
-    if (m_tally.problems.size() < problemsKept) {
-        m_tally.problems.push_back(std::move(text));
+    if (m_counters.problems.size() < maxProblems) {
+        m_counters.problems.push_back(std::move(text));
     }
 }
 
@@ -95,20 +95,20 @@
     c.workspace = workspace;
     c.pauseDivisor = pauseDivisor;
     c.rng.seed(static_cast<unsigned>(id) + 1);
-    const std::string system = "You are the assistant of " + workspace + "." + words(ring::hash(workspace), m_o.systemTokens);
+    const std::string system = "You are the assistant of " + workspace + "." + randomWords(ring::hash(workspace), m_options.systemTokens);
     c.messages.push_back({{"role", "system"}, {"content", system}});
     return c;
 }
 
-// Runs a task beside the others; run() waits for it.
-void Experiment::start(Task<void> task)
+// Starts a concurrent task. run() waits for it.
+void Experiment::spawn(Task<void> task)
 {
-    ++m_running;
+    ++m_runningTasks;
     asio::co_spawn(m_executor, std::move(task), [this](std::exception_ptr failure) {
-        --m_running;
+        --m_runningTasks;
         if (failure) {
-            ++m_tally.failed;
-            problem("a task of the experiment failed");
+            ++m_counters.failed;
+            addProblem("a task of the experiment failed");
         }
     });
 }
@@ -118,46 +118,46 @@
     m_executor = co_await asio::this_coro::executor;
     m_started = Clock::now();
     std::mt19937 rng(7);
-    for (int c = 0; c < m_o.conversations; ++c) {
+    for (int c = 0; c < m_options.conversations; ++c) {
         const bool large = static_cast<int>(rng() % 100) < largePercent;
-        const int few = std::min(largeWorkspaces, m_o.workspaces);
-        const int workspace = large || m_o.workspaces == few ? c % few : few + c % (m_o.workspaces - few);
-        start(converse(makeConversation(c, "ws-" + std::to_string(workspace), 1)));
+        const int largeCount = std::min(largeWorkspaces, m_options.workspaces);
+        const int workspace = large || m_options.workspaces == largeCount ? c % largeCount : largeCount + c % (m_options.workspaces - largeCount);
+        spawn(runConversation(makeConversation(c, "ws-" + std::to_string(workspace), 1)));
     }
-    start(at(m_o.drainAtS, [this] {
-        return drainEngine(m_o.drainEngine);
+    spawn(runAt(m_options.drainAtS, [this] {
+        return drainEngine(m_options.drainEngine);
     }));
-    start(at(m_o.migrateAtS, [this] {
+    spawn(runAt(m_options.migrateAtS, [this] {
         return migrate();
     }));
-    start(at(m_o.outageAtS, [this] {
+    spawn(runAt(m_options.outageAtS, [this] {
         return outage();
     }));
-    start(at(m_o.surgeAtS, [this] {
+    spawn(runAt(m_options.surgeAtS, [this] {
         return surge();
     }));
-    start(churn());
-    start(sampleLoads());
-    // The sampler and the churn end when the callers have.
-    constexpr int background = 2;
-    while (m_running > background) {
+    spawn(runChurn());
+    spawn(sampleLoads());
+    // The load sampler and the churn end only after m_done is set.
+    constexpr int backgroundTasks = 2;
+    while (m_runningTasks > backgroundTasks) {
         co_await sleepFor(pollInterval);
     }
     m_done = true;
-    while (m_running > 0) {
+    while (m_runningTasks > 0) {
         co_await sleepFor(pollInterval);
     }
     co_return co_await report();
 }
 
-// Runs an action at its second, unless that never comes.
-Task<void> Experiment::at(int second, std::function<Task<void>()> action)
+// Runs an action at a second of the experiment, unless the second is negative or the experiment ends before.
+Task<void> Experiment::runAt(int second, std::function<Task<void>()> action)
 {
     if (second < 0) {
         co_return;
     }
     while (Clock::now() - m_started < std::chrono::seconds(second)) {
-        if (over()) {
+        if (isOver()) {
             co_return;
         }
         co_await sleepFor(pollInterval);
@@ -165,57 +165,57 @@
     co_await action();
 }
 
-// One conversation: turns with pauses between them, until it or the run ends.
-Task<void> Experiment::converse(Conversation c)
+// Runs a conversation, turns with pauses between them, until it or the experiment ends.
+Task<void> Experiment::runConversation(Conversation c)
 {
-    std::uniform_int_distribution<int> pause(m_o.pauseMinMs, m_o.pauseMaxMs);
-    while (c.turnsDone < m_o.turns) {
+    std::uniform_int_distribution<int> pause(m_options.pauseMinMs, m_options.pauseMaxMs);
+    while (c.turnsDone < m_options.turns) {
         co_await sleepFor(Millis(pause(c.rng) / c.pauseDivisor));
-        while (m_inflight >= m_o.concurrency && !over()) {
+        while (m_inflight >= m_options.concurrency && !isOver()) {
             co_await sleepFor(pollInterval);
         }
-        if (over()) {
+        if (isOver()) {
             co_return;
         }
         ++m_issued;
         ++m_inflight;
-        const bool answered = co_await turn(c);
+        const bool answered = co_await runTurn(c);
         --m_inflight;
         const auto draw = ring::hash(std::to_string(c.id) + "/" + std::to_string(c.turnsDone)) % 100;
-        if (answered && static_cast<int>(draw) < m_o.servicePercent) {
-            co_await book(c.id, c.turnsDone);
+        if (answered && static_cast<int>(draw) < m_options.servicePercent) {
+            co_await sendBookings(c.id, c.turnsDone);
         }
         ++c.turnsDone;
     }
 }
 
-// One chat turn, asked again after a not-run answer. True when the answer
-// came whole and right; it then joins the conversation.
-Task<bool> Experiment::turn(Conversation &c)
+// Runs one chat turn, with retries after outcome not_run. Returns true if the response was complete and correct; it is
+// then added to the conversation.
+Task<bool> Experiment::runTurn(Conversation &c)
 {
-    const int salt = c.id * 31 + c.turnsDone;
-    const bool stream = salt % 2 == 0;
+    const int routerNumber = c.id * 31 + c.turnsDone;
+    const bool stream = routerNumber % 2 == 0;
     const std::string question = "conversation " + std::to_string(c.id) + " turn " + std::to_string(c.turnsDone)
-        + " asks:" + words(ring::hash(m_o.label, static_cast<uint64_t>(salt)), questionTokens);
+        + " asks:" + randomWords(ring::hash(m_options.label, static_cast<uint64_t>(routerNumber)), questionTokens);
     json messages = c.messages;
-    messages.push_back(messageOf("user", question));
+    messages.push_back(makeMessage("user", question));
     std::string expected;
-    for (const auto &token : engine::answerTokens(ring::hash(prefix::promptText(messages)), static_cast<std::size_t>(m_o.maxTokens))) {
+    for (const auto &token : engine::answerTokens(ring::hash(prefix::promptText(messages)), static_cast<std::size_t>(m_options.maxTokens))) {
         expected += token + " ";
     }
-    const json body = chatBody(messages, m_o.maxTokens, stream);
-    const std::string requestId = m_o.label + "-" + std::to_string(c.id) + "-" + std::to_string(c.turnsDone);
-    for (int attempt = 0; attempt < callerTries; ++attempt) {
-        const auto answer = co_await ask(router(salt + attempt), c.workspace, requestId, body.dump(), stream);
-        if (answer.outcome == "not_run" && attempt + 1 < callerTries) {
-            ++m_tally.notRun;
-            ++m_tally.retries;
-            co_await sleepFor(std::chrono::duration_cast<Millis>(std::chrono::duration<double>(answer.retryAfterS)));
+    const json body = chatBody(messages, m_options.maxTokens, stream);
+    const std::string requestId = m_options.label + "-" + std::to_string(c.id) + "-" + std::to_string(c.turnsDone);
+    for (int attempt = 0; attempt < maxCallerAttempts; ++attempt) {
+        const auto result = co_await sendChat(pickRouter(routerNumber + attempt), c.workspace, requestId, body.dump(), stream);
+        if (result.outcome == "not_run" && attempt + 1 < maxCallerAttempts) {
+            ++m_counters.notRun;
+            ++m_counters.retries;
+            co_await sleepFor(std::chrono::duration_cast<Millis>(std::chrono::duration<double>(result.retryAfterS)));
             continue;
         }
-        check(c, answer, requestId, expected);
-        if (answer.status == 200 && answer.complete && answer.content == expected) {
-            messages.push_back(messageOf("assistant", answer.content));
+        countResponse(c, result, requestId, expected);
+        if (result.status == 200 && result.complete && result.content == expected) {
+            messages.push_back(makeMessage("assistant", result.content));
             c.messages = std::move(messages);
             co_return true;
         }
@@ -224,35 +224,35 @@
     co_return false;
 }
 
-// Counts an answer: whole and right, or what was wrong with it.
-void Experiment::check(const Conversation &c, const Answer &answer, const std::string &requestId, const std::string &expected)
+// Checks a response and counts the result.
+void Experiment::countResponse(const Conversation &c, const ChatResult &result, const std::string &requestId, const std::string &expected)
 {
-    if (answer.status != 200 || answer.transportFailed) {
-        ++(answer.outcome == "not_run" ? m_tally.notRun : (answer.outcome == "unknown" ? m_tally.unknown : m_tally.failed));
-        problem(requestId + ": status " + std::to_string(answer.status) + " " + answer.text);
+    if (result.status != 200 || result.transportFailed) {
+        ++(result.outcome == "not_run" ? m_counters.notRun : (result.outcome == "unknown" ? m_counters.unknown : m_counters.failed));
+        addProblem(requestId + ": status " + std::to_string(result.status) + " " + result.text);
         return;
     }
-    if (!answer.complete) {
-        ++m_tally.failed;
-        problem(requestId + ": incomplete answer");
+    if (!result.complete) {
+        ++m_counters.failed;
+        addProblem(requestId + ": incomplete answer");
         return;
     }
-    if (answer.content != expected || answer.id != "chatcmpl-" + requestId) {
-        ++m_tally.wrong;
-        problem(requestId + ": wrong answer (id " + answer.id + ")");
+    if (result.content != expected || result.id != "chatcmpl-" + requestId) {
+        ++m_counters.wrong;
+        addProblem(requestId + ": wrong answer (id " + result.id + ")");
         return;
     }
-    ++m_tally.served;
+    ++m_counters.served;
     if (c.turnsDone > 0) {
-        m_tally.returningPrompt += answer.promptTokens;
-        m_tally.returningCached += answer.cachedTokens;
-        m_tally.movedPrompt += m_moved ? answer.promptTokens : 0;
-        m_tally.movedCached += m_moved ? answer.cachedTokens : 0;
+        m_counters.returningPrompt += result.promptTokens;
+        m_counters.returningCached += result.cachedTokens;
+        m_counters.movedPrompt += m_migrated ? result.promptTokens : 0;
+        m_counters.movedCached += m_migrated ? result.cachedTokens : 0;
     }
 }
 
-// Takes what a chunk or a whole answer says of itself.
-static void readAnswerPart(const json &part, const char *contentField, std::string &id, std::string &content, uint64_t &prompt, uint64_t &cached)
+// Reads id, content and token usage from a chunk or a complete response.
+static void readResponsePart(const json &part, const char *contentField, std::string &id, std::string &content, uint64_t &prompt, uint64_t &cached)
 {
     id = part.value("id", id);
     if (part.contains("choices") && !part["choices"].empty()) {
@@ -269,63 +269,63 @@
     }
 }
 
-Task<Experiment::Answer> Experiment::ask(http::Address to, std::string workspace, std::string requestId, std::string body, bool stream)
+Task<Experiment::ChatResult> Experiment::sendChat(http::Address to, std::string workspace, std::string requestId, std::string body, bool stream)
 {
-    Answer answer;
-    const auto began = Clock::now();
+    ChatResult result;
+    const auto sentAt = Clock::now();
     const auto options = callOptions(callerTimeout, http::Reuse::KeptOrAgain);
     auto request = http::makeRequest("POST", "/v1/chat/completions", std::move(body), chatHeaders(workspace, requestId));
     auto opened = co_await m_client.open(std::move(to), std::move(request), options);
     if (auto *error = std::get_if<http::CallError>(&opened)) {
-        answer.transportFailed = true;
-        answer.text = error->message;
-        co_return answer;
+        result.transportFailed = true;
+        result.text = error->message;
+        co_return result;
     }
     auto &response = *std::get<std::unique_ptr<http::Response>>(opened);
-    answer.status = response.status();
-    if (answer.status == 200 && stream) {
-        co_await readStream(response, answer, began);
-        co_return answer;
+    result.status = response.status();
+    if (result.status == 200 && stream) {
+        co_await readStream(response, result, sentAt);
+        co_return result;
     }
     std::string text;
     for (;;) {
         auto read = co_await response.read();
         if (auto *error = std::get_if<http::CallError>(&read)) {
-            answer.transportFailed = true;
-            answer.text = error->message;
-            co_return answer;
+            result.transportFailed = true;
+            result.text = error->message;
+            co_return result;
         }
         if (std::get<std::string>(read).empty()) {
             break;
         }
         text += std::get<std::string>(read);
     }
-    answer.text = text.substr(0, 160);
+    result.text = text.substr(0, 160);
     const json parsed = json::parse(text, nullptr, false);
     if (!parsed.is_object()) {
-        co_return answer;
+        co_return result;
     }
-    if (answer.status != 200) {
-        answer.outcome = parsed.value("outcome", "");
-        answer.retryAfterS = parsed.value("retry_after_s", 1.0);
-        co_return answer;
+    if (result.status != 200) {
+        result.outcome = parsed.value("outcome", "");
+        result.retryAfterS = parsed.value("retry_after_s", 1.0);
+        co_return result;
     }
-    readAnswerPart(parsed, "message", answer.id, answer.content, answer.promptTokens, answer.cachedTokens);
-    answer.complete = true;
-    m_tally.timeToFirst(millisSince(began));
-    co_return answer;
+    readResponsePart(parsed, "message", result.id, result.content, result.promptTokens, result.cachedTokens);
+    result.complete = true;
+    m_counters.timeToFirst(millisSince(sentAt));
+    co_return result;
 }
 
-// Reads server-sent events; complete only when the terminal one arrived.
-Task<void> Experiment::readStream(http::Response &response, Answer &answer, Clock::time_point began)
+// Reads a stream of server-sent events. It is complete only if the terminal event arrived.
+Task<void> Experiment::readStream(http::Response &response, ChatResult &result, Clock::time_point sentAt)
 {
     sse::EventRelay events;
-    auto last = began;
+    auto last = sentAt;
     for (;;) {
         auto read = co_await response.read();
         if (auto *error = std::get_if<http::CallError>(&read)) {
-            answer.transportFailed = true;
-            answer.text = error->message;
+            result.transportFailed = true;
+            result.text = error->message;
             co_return;
         }
         const auto &bytes = std::get<std::string>(read);
@@ -338,32 +338,32 @@
             if (!parsed.is_object()) {
                 continue; // the terminal event
             }
-            readAnswerPart(parsed, "delta", answer.id, answer.content, answer.promptTokens, answer.cachedTokens);
-            (last == began ? m_tally.timeToFirst : m_tally.timeBetween)(millisSince(last));
+            readResponsePart(parsed, "delta", result.id, result.content, result.promptTokens, result.cachedTokens);
+            (last == sentAt ? m_counters.timeToFirst : m_counters.timeBetween)(millisSince(last));
             last = Clock::now();
         }
     }
-    answer.complete = events.complete() && !events.gap();
+    result.complete = events.complete() && !events.gap();
 }
 
-// A booking through the plain service; the caller sends it twice, to two
-// routers, as after a lost answer. It must run once.
-Task<void> Experiment::book(int household, int slot)
+// Books through the plain service. The caller sends the booking to two routers, as a caller does whose first response
+// was lost. It must be executed once.
+Task<void> Experiment::sendBookings(int household, int slot)
 {
-    const std::string key = m_o.label + "-book-" + std::to_string(household) + "-" + std::to_string(slot);
+    const std::string key = m_options.label + "-book-" + std::to_string(household) + "-" + std::to_string(slot);
     const json body = bookingBody(household, slot);
     for (int copy = 0; copy < 2; ++copy) {
         const auto options = callOptions(callerTimeout, http::Reuse::Never);
         auto request = http::makeRequest("POST", "/v1/ops/book", body.dump(), bookingHeaders(key));
-        auto called = co_await m_client.call(router(household + copy), std::move(request), options);
+        auto called = co_await m_client.call(pickRouter(household + copy), std::move(request), options);
         auto *reply = std::get_if<http::Reply>(&called);
         if (reply && reply->status == 200) {
-            ++(reply->header("x-idempotent-replay") == "true" ? m_tally.replayed : m_tally.booked);
+            ++(reply->header("x-idempotent-replay") == "true" ? m_counters.replayed : m_counters.booked);
             continue;
         }
         const std::string outcome = reply ? reply->header("x-outcome") : "";
-        ++(outcome == "not_run" ? m_tally.notRun : (outcome == "unknown" ? m_tally.unknown : m_tally.failed));
-        problem(key + ": booking status " + std::to_string(reply ? reply->status : 0));
+        ++(outcome == "not_run" ? m_counters.notRun : (outcome == "unknown" ? m_counters.unknown : m_counters.failed));
+        addProblem(key + ": booking status " + std::to_string(reply ? reply->status : 0));
     }
 }
 
--- a/emulators/experiment_calls.h
+++ b/emulators/experiment_calls.h
@@ -1,4 +1,4 @@
-// What the parts of an experiment share.
+// Constants and helpers shared by the source files of an experiment.
 #pragma once
 
 #include "experiment.h"
@@ -6,13 +6,13 @@
 namespace yucca::experiment
 {
 
-inline constexpr int largeWorkspaces = 3; ///< the few large workspaces
-inline constexpr Millis callerTimeout{30000};
-inline constexpr Millis probeTimeout{2000};
+inline constexpr int largeWorkspaces = 3; ///< number of large workspaces
+inline constexpr Millis callerTimeout{30000}; ///< of chat turns and bookings
+inline constexpr Millis probeTimeout{2000}; ///< of calls to engines, the platform and router status
 inline constexpr Millis pollInterval{20};
 
-// GCC 12 cannot keep braced lists in a coroutine's frame, so JSON bodies,
-// headers and options are made in plain functions.
+// GCC 12 cannot keep braced initializer lists in a coroutine frame, so JSON bodies, headers and options are made in
+// plain functions.
 
 inline http::CallOptions callOptions(Clock::duration timeout, http::Reuse reuse)
 {
--- a/emulators/experiment_events.cpp
+++ b/emulators/experiment_events.cpp
@@ -1,5 +1,5 @@
-// What happens to the fleet during an experiment: engines that leave, a move
-// to another provider, an outage, a surge; and the sampling of loads.
+// Events during an experiment (engines that leave, a move to another pool, a store outage, a surge), and the sampling
+// of loads.
 #include "experiment.h"
 #include "experiment_calls.h"
 
@@ -15,7 +15,7 @@
 
 constexpr int surgePauseDivisor = 4;
 constexpr Millis sampleInterval{200};
-constexpr Millis churnAway{1500}; ///< an engine that leaves comes back empty after this
+constexpr Millis replacementDelay{1500}; ///< from the drain of an engine to its return with an empty cache
 
 json orderBody(const char *kind)
 {
@@ -29,7 +29,7 @@
 
 } // namespace
 
-Task<json> Experiment::fetch(http::Address from, std::string path)
+Task<json> Experiment::getJson(http::Address from, std::string path)
 {
     const auto options = callOptions(probeTimeout, http::Reuse::KeptOrAgain);
     auto called = co_await m_client.call(std::move(from), http::makeRequest("GET", path), options);
@@ -38,7 +38,7 @@
     co_return parsed.is_object() ? std::move(parsed) : json::object();
 }
 
-Task<bool> Experiment::send(http::Address to, std::string method, std::string path, json body)
+Task<bool> Experiment::sendJson(http::Address to, std::string method, std::string path, json body)
 {
     const auto options = callOptions(probeTimeout, http::Reuse::Never);
     auto called = co_await m_client.call(std::move(to), http::makeRequest(method, path, body.dump()), options);
@@ -58,7 +58,7 @@
     co_return out;
 }
 
-// Samples the engines' loads for the skew, while the callers run.
+// Samples the engines' loads for the skew until the experiment is done.
 Task<void> Experiment::sampleLoads()
 {
     auto known = co_await endpoints();
@@ -74,7 +74,7 @@
             if (e.kind != EndpointKind::Engine || e.state != EndpointState::Live) {
                 continue;
             }
-            const json load = co_await fetch(addressOf(e), "/load");
+            const json load = co_await getJson(addressOf(e), "/load");
             if (load.value("draining", true)) {
                 continue;
             }
@@ -83,17 +83,17 @@
             peak = std::max(peak, inflight);
             ++n;
         }
-        // Below one request an engine the ratio says nothing.
+        // With less than one request per engine the ratio is meaningless.
         if (n > 0 && total >= n) {
             const double skew = peak / (total / n);
-            m_tally.skewSum += skew;
-            m_tally.worstSkew = std::max(m_tally.worstSkew, skew);
-            ++m_tally.skewSamples;
+            m_counters.skewSum += skew;
+            m_counters.worstSkew = std::max(m_counters.worstSkew, skew);
+            ++m_counters.skewSamples;
         }
     }
 }
 
-// An engine leaves: it is told to drain, and the VM list marks it leaving.
+// Orders an engine to drain and marks it as leaving in the VM list.
 Task<void> Experiment::drainEngine(std::string id)
 {
     const auto known = co_await endpoints();
@@ -101,33 +101,33 @@
         if (e.id != id) {
             continue;
         }
-        co_await send(addressOf(e), "POST", "/v1/orders", orderBody("drain"));
+        co_await sendJson(addressOf(e), "POST", "/v1/orders", orderBody("drain"));
         e.state = EndpointState::Leaving;
-        co_await send(m_o.platform, "PUT", "/admin/vms/" + e.id, platform::toJson(e));
-        fprintf(stderr, "yucca-load: engine %s told to drain\n", e.id.c_str());
+        co_await sendJson(m_options.platform, "PUT", "/admin/vms/" + e.id, platform::toJson(e));
+        fprintf(stderr, "yucca-load: ordered engine %s to drain\n", e.id.c_str());
     }
 }
 
-// An engine leaves and comes back empty, as its replacement would.
-Task<void> Experiment::leaveAndReturn(Endpoint e)
+// Drains an engine and brings it back with an empty cache, like a new engine in its place.
+Task<void> Experiment::replaceEngine(Endpoint e)
 {
     const http::Address address = addressOf(e);
     co_await drainEngine(e.id);
-    co_await sleepFor(churnAway);
-    co_await send(address, "POST", "/v1/orders", orderBody("undrain"));
-    co_await send(address, "POST", "/admin/clear-cache", json::object());
+    co_await sleepFor(replacementDelay);
+    co_await sendJson(address, "POST", "/v1/orders", orderBody("undrain"));
+    co_await sendJson(address, "POST", "/admin/clear-cache", json::object());
     e.state = EndpointState::Live;
-    co_await send(m_o.platform, "PUT", "/admin/vms/" + e.id, platform::toJson(e));
+    co_await sendJson(m_options.platform, "PUT", "/admin/vms/" + e.id, platform::toJson(e));
 }
 
-// Engines leave and come back, one after the other.
-Task<void> Experiment::churn()
+// Replaces the engines one after the other.
+Task<void> Experiment::runChurn()
 {
-    if (m_o.churnEveryS <= 0) {
+    if (m_options.churnEveryS <= 0) {
         co_return;
     }
     for (std::size_t turn = 0; !m_done; ++turn) {
-        const auto next = Clock::now() + std::chrono::seconds(m_o.churnEveryS);
+        const auto next = Clock::now() + std::chrono::seconds(m_options.churnEveryS);
         while (!m_done && Clock::now() < next) {
             co_await sleepFor(pollInterval);
         }
@@ -136,41 +136,41 @@
             return e.kind != EndpointKind::Engine || e.state != EndpointState::Live;
         });
         if (!m_done && known.size() > 1) {
-            co_await leaveAndReturn(known[turn % known.size()]);
+            co_await replaceEngine(known[turn % known.size()]);
         }
     }
 }
 
-// The provider move: the class of work is pointed at another pool by a
-// conditional catalogue write, as an operator's yucca-ctl would.
+// Moves a class of requests to another pool by a conditional write to the catalogue, as yucca-ctl does.
 Task<void> Experiment::migrate()
 {
-    auto current = co_await m_platform.get("class", m_o.migrateClass, platform::Freshness::Current);
+    auto current = co_await m_platform.get("class", m_options.migrateClass, platform::Freshness::Current);
     if (!ok(current)) {
-        fprintf(stderr, "yucca-load: class %s not found; no move\n", m_o.migrateClass.c_str());
+        fprintf(stderr, "yucca-load: class %s not found; it is not moved to another pool\n", m_options.migrateClass.c_str());
         co_return;
     }
     auto object = std::get<platform::Object>(current);
-    object.value["pool"] = m_o.migratePool;
-    auto moved = co_await m_platform.put("class", m_o.migrateClass, object.value, object.version);
-    m_moved = ok(moved);
-    fprintf(stderr, "yucca-load: class %s moved to pool %s: %s\n", m_o.migrateClass.c_str(), m_o.migratePool.c_str(), m_moved ? "ok" : "refused");
+    object.value["pool"] = m_options.migratePool;
+    auto moved = co_await m_platform.put("class", m_options.migrateClass, object.value, object.version);
+    m_migrated = ok(moved);
+    fprintf(stderr, "yucca-load: class %s moved to pool %s: %s\n", m_options.migrateClass.c_str(), m_options.migratePool.c_str(),
+            m_migrated ? "ok" : "refused");
 }
 
-// The object API is down for a while.
+// Makes the object API unavailable for outageForS seconds.
 Task<void> Experiment::outage()
 {
-    co_await send(m_o.platform, "POST", "/admin/faults", outageFault());
-    co_await sleepFor(std::chrono::seconds(m_o.outageForS));
-    co_await send(m_o.platform, "POST", "/admin/faults", json::object());
+    co_await sendJson(m_options.platform, "POST", "/admin/faults", outageFault());
+    co_await sleepFor(std::chrono::seconds(m_options.outageForS));
+    co_await sendJson(m_options.platform, "POST", "/admin/faults", json::object());
 }
 
-// A few workspaces surge at once: more conversations, shorter pauses.
+// Starts a surge of a few workspaces: more conversations, with shorter pauses.
 Task<void> Experiment::surge()
 {
-    for (int i = 0; i < m_o.surgeConversations; ++i) {
-        const int workspace = m_o.workspaces - 1 - i % std::min(largeWorkspaces, m_o.workspaces);
-        start(converse(makeConversation(m_o.conversations + i, "ws-" + std::to_string(workspace), surgePauseDivisor)));
+    for (int i = 0; i < m_options.surgeConversations; ++i) {
+        const int workspace = m_options.workspaces - 1 - i % std::min(largeWorkspaces, m_options.workspaces);
+        spawn(runConversation(makeConversation(m_options.conversations + i, "ws-" + std::to_string(workspace), surgePauseDivisor)));
     }
     co_return;
 }
--- a/emulators/experiment_report.cpp
+++ b/emulators/experiment_report.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-constexpr Millis drainAllowance{3000}; ///< "a few seconds": later arrivals at a draining engine are counted
+constexpr Millis maxArrivalDelay{3000}; ///< arrivals at a draining engine after this time count as late
 
-// The quantile q of a histogram, by the upper edge of the bin that reaches it.
+// Returns the quantile q of a histogram: the upper edge of the bin that reaches it, or 0 if the histogram is empty.
 double quantile(const Histogram &h, double q)
 {
     const double total = boost::histogram::algorithm::sum(h);
@@ -47,16 +47,16 @@
     int64_t lateArrivals = 0;
     const auto known = co_await endpoints();
     for (const auto &e : known) {
-        const json j = co_await fetch(addressOf(e), e.kind == EndpointKind::Engine ? "/stats" : "/v1/executions");
+        const json j = co_await getJson(addressOf(e), e.kind == EndpointKind::Engine ? "/stats" : "/v1/executions");
         duplicates += j.value("duplicates", json::array()).size();
         if (e.kind != EndpointKind::Engine) {
             continue;
         }
         for (auto ms : j.value("arrivalsAfterDrainMs", std::vector<int64_t>{})) {
-            lateArrivals += ms > drainAllowance.count() ? 1 : 0;
+            lateArrivals += ms > maxArrivalDelay.count() ? 1 : 0;
         }
-        // Skew is over the engines that stayed and took part: one that left
-        // mid-run, or whose pool had no work, served less by design.
+        // Engines that left during the experiment, or whose pool had no requests, served less by design: they do not
+        // count for the skew.
         if (!j.value("draining", false) && j.value("served", 0.0) > 0) {
             served.push_back(j.value("served", 0.0));
         }
@@ -69,40 +69,40 @@
     }
     double control = 0;
     double records = 0;
-    for (const auto &r : m_o.routers) {
-        const json j = co_await fetch(r, "/status");
-        control += j.value("controlBytesPerS", 0.0) / static_cast<double>(m_o.routers.size());
-        records += j.value("recordBytesPerS", 0.0) / static_cast<double>(m_o.routers.size());
+    for (const auto &r : m_options.routers) {
+        const json j = co_await getJson(r, "/status");
+        control += j.value("controlBytesPerS", 0.0) / static_cast<double>(m_options.routers.size());
+        records += j.value("recordBytesPerS", 0.0) / static_cast<double>(m_options.routers.size());
     }
-    co_return reportOf(mean > 0 ? peak / mean : 0.0, duplicates, lateArrivals, control, records);
+    co_return makeReport(mean > 0 ? peak / mean : 0.0, duplicates, lateArrivals, control, records);
 }
 
-json Experiment::reportOf(double skew, std::size_t duplicates, int64_t lateArrivals, double control, double records) const
+json Experiment::makeReport(double skew, std::size_t duplicates, int64_t lateArrivals, double control, double records) const
 {
-    const double samples = static_cast<double>(std::max<uint64_t>(1, m_tally.skewSamples));
-    return {{"label", m_o.label},
-            {"served", m_tally.served},
-            {"failed", m_tally.failed + m_tally.wrong},
-            {"wrong", m_tally.wrong},
-            {"not_run", m_tally.notRun},
-            {"unknown", m_tally.unknown},
-            {"caller_retries", m_tally.retries},
-            {"booked", m_tally.booked},
-            {"replayed", m_tally.replayed},
+    const double samples = static_cast<double>(std::max<uint64_t>(1, m_counters.skewSamples));
+    return {{"label", m_options.label},
+            {"served", m_counters.served},
+            {"failed", m_counters.failed + m_counters.wrong},
+            {"wrong", m_counters.wrong},
+            {"not_run", m_counters.notRun},
+            {"unknown", m_counters.unknown},
+            {"caller_retries", m_counters.retries},
+            {"booked", m_counters.booked},
+            {"replayed", m_counters.replayed},
             {"duplicates", duplicates},
             {"arrivals_3s_after_drain", lateArrivals},
-            {"cache_reuse", ratio(m_tally.returningCached, m_tally.returningPrompt)},
-            {"cache_reuse_after_move", ratio(m_tally.movedCached, m_tally.movedPrompt)},
-            {"moved", m_moved},
+            {"cache_reuse", ratio(m_counters.returningCached, m_counters.returningPrompt)},
+            {"cache_reuse_after_move", ratio(m_counters.movedCached, m_counters.movedPrompt)},
+            {"moved", m_migrated},
             {"skew", skew},
-            {"load_skew_mean", m_tally.skewSum / samples},
-            {"load_skew_worst", m_tally.worstSkew},
+            {"load_skew_mean", m_counters.skewSum / samples},
+            {"load_skew_worst", m_counters.worstSkew},
             {"control_bytes_per_s_per_router", control},
             {"record_bytes_per_s_per_router", records},
-            {"ttft_ms", quantiles(m_tally.timeToFirst)},
-            {"between_ms", quantiles(m_tally.timeBetween)},
+            {"ttft_ms", quantiles(m_counters.timeToFirst)},
+            {"between_ms", quantiles(m_counters.timeBetween)},
             {"elapsed_s", millisSince(m_started) / 1000},
-            {"first_problems", m_tally.problems}};
+            {"first_problems", m_counters.problems}};
 }
 
 } // namespace yucca::experiment
--- a/emulators/load_main.cpp
+++ b/emulators/load_main.cpp
@@ -1,6 +1,5 @@
-// yucca-load: the load and experiment tool. Drives returning conversations
-// through routers on loopback, bounded in count and time, and prints the
-// brief's measures as one JSON object.
+// yucca-load: the load generator. Sends returning conversations to routers on loopback, limited in number and time, and
+// prints the report as one JSON object.
 #include "cli.h"
 #include "experiment.h"
 #include "findings.h"
@@ -14,16 +13,17 @@
 
 using namespace yucca;
 
-constexpr int mostSeconds = 600;
-constexpr int mostRequests = 1000000;
-constexpr int mostConcurrency = 4096;
+constexpr int maxSeconds = 600;
+constexpr int maxRequestCount = 1000000;
+constexpr int maxConcurrency = 4096;
 
 bool isLoopback(const std::string &host)
 {
     return host.rfind("127.", 0) == 0 || host == "::1";
 }
 
-// "127.0.0.1:7000,127.0.0.1:7001" as addresses; what does not parse is a finding.
+// Parses a list such as "127.0.0.1:7000,127.0.0.1:7001". Items that are not loopback addresses are recorded as
+// findings.
 std::vector<http::Address> parseRouters(const std::string &list, Findings &findings)
 {
     std::vector<http::Address> out;
@@ -53,7 +53,7 @@
     }
 }
 
-// The settings file: the same names as the options, in camel case.
+// Parses the settings file, whose keys are the names of the options in camel case.
 experiment::Options parseSettings(const nlohmann::json &doc, Findings &findings)
 {
     experiment::Options o;
@@ -70,26 +70,26 @@
     }
     r.read("platformPort", o.platform.port);
     r.read("label", o.label);
-    readInt("workspaces", o.workspaces, 1, mostRequests);
-    readInt("conversations", o.conversations, 1, mostRequests);
-    readInt("turns", o.turns, 1, mostRequests);
+    readInt("workspaces", o.workspaces, 1, maxRequestCount);
+    readInt("conversations", o.conversations, 1, maxRequestCount);
+    readInt("turns", o.turns, 1, maxRequestCount);
     readInt("maxTokens", o.maxTokens, 1, 4096);
-    readInt("maxRequests", o.maxRequests, 1, mostRequests);
-    readInt("duration", o.durationS, 1, mostSeconds);
-    readInt("concurrency", o.concurrency, 1, mostConcurrency);
-    readInt("pauseMinMs", o.pauseMinMs, 0, mostSeconds * 1000);
-    readInt("pauseMaxMs", o.pauseMaxMs, 0, mostSeconds * 1000);
+    readInt("maxRequests", o.maxRequests, 1, maxRequestCount);
+    readInt("duration", o.durationS, 1, maxSeconds);
+    readInt("concurrency", o.concurrency, 1, maxConcurrency);
+    readInt("pauseMinMs", o.pauseMinMs, 0, maxSeconds * 1000);
+    readInt("pauseMaxMs", o.pauseMaxMs, 0, maxSeconds * 1000);
     readInt("servicePct", o.servicePercent, 0, 100);
-    readInt("churnEvery", o.churnEveryS, 0, mostSeconds);
-    readInt("surgeAt", o.surgeAtS, -1, mostSeconds);
-    readInt("surgeConversations", o.surgeConversations, 0, mostRequests);
-    readInt("outageAt", o.outageAtS, -1, mostSeconds);
-    readInt("outageFor", o.outageForS, 0, mostSeconds);
+    readInt("churnEvery", o.churnEveryS, 0, maxSeconds);
+    readInt("surgeAt", o.surgeAtS, -1, maxSeconds);
+    readInt("surgeConversations", o.surgeConversations, 0, maxRequestCount);
+    readInt("outageAt", o.outageAtS, -1, maxSeconds);
+    readInt("outageFor", o.outageForS, 0, maxSeconds);
     r.finish();
     return o;
 }
 
-void takeText(std::string &out, const char *value)
+void overrideText(std::string &out, const char *value)
 {
     if (value) {
         out = value;
@@ -100,8 +100,8 @@
 
 int main(int argc, const char **argv)
 {
-    // The settings file gives the defaults that the options override, so the
-    // command line is read once for its name and once more on top of it.
+    // Options override the settings file, whose name is an option itself: the command line is parsed once for that
+    // name, and again after the file was read.
     cli::Common common;
     std::vector<std::string> rest;
     experiment::Options o;
@@ -154,12 +154,12 @@
     }
     platformPort = platformPort < 0 ? o.platform.port : platformPort;
     checkRange("--platform-port", platformPort, 1, 65535, findings);
-    checkRange("--duration", o.durationS, 1, mostSeconds, findings);
-    checkRange("--max-requests", o.maxRequests, 1, mostRequests, findings);
-    checkRange("--concurrency", o.concurrency, 1, mostConcurrency, findings);
-    checkRange("--conversations", o.conversations, 1, mostRequests, findings);
-    checkRange("--workspaces", o.workspaces, 1, mostRequests, findings);
-    checkRange("--turns", o.turns, 1, mostRequests, findings);
+    checkRange("--duration", o.durationS, 1, maxSeconds, findings);
+    checkRange("--max-requests", o.maxRequests, 1, maxRequestCount, findings);
+    checkRange("--concurrency", o.concurrency, 1, maxConcurrency, findings);
+    checkRange("--conversations", o.conversations, 1, maxRequestCount, findings);
+    checkRange("--workspaces", o.workspaces, 1, maxRequestCount, findings);
+    checkRange("--turns", o.turns, 1, maxRequestCount, findings);
     checkRange("--pause-min-ms", o.pauseMinMs, 0, o.pauseMaxMs, findings);
     checkRange("--service-pct", o.servicePercent, 0, 100, findings);
     if (!findings.empty()) {
@@ -167,10 +167,10 @@
         return cli::ExitUsage;
     }
     o.platform.port = static_cast<uint16_t>(platformPort);
-    takeText(o.label, label);
-    takeText(o.drainEngine, drainEngine);
-    takeText(o.migrateClass, migrateClass);
-    takeText(o.migratePool, migratePool);
+    overrideText(o.label, label);
+    overrideText(o.drainEngine, drainEngine);
+    overrideText(o.migrateClass, migrateClass);
+    overrideText(o.migratePool, migratePool);
     experiment::Experiment experiment(o);
     const nlohmann::json report = runBlocking(experiment.run());
     printf("%s\n", report.dump().c_str());
--- a/emulators/local_object_api.cpp
+++ b/emulators/local_object_api.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-constexpr int pageLimit = 500; ///< objects a page
+constexpr int pageLimit = 500; ///< objects per page
 
 const Error outageError{store::Unavailable, "outage"};
 
@@ -17,8 +17,8 @@
 {
 }
 
-// All answers tell the epoch, failures too.
-template <typename T> Result<T> LocalObjectApi::answered(Result<T> result)
+// Adds the epoch of the store to a result. All responses carry it, also failed ones.
+template <typename T> Result<T> LocalObjectApi::withEpoch(Result<T> result)
 {
     m_epoch = m_store.epoch();
     if constexpr (std::is_same_v<T, Object>) {
@@ -29,8 +29,8 @@
     return result;
 }
 
-// Counts a write that took effect, and loses its answer when told to.
-Result<Object> LocalObjectApi::written(Result<Object> result)
+// Counts a write that took effect, and loses its response if that fault is on.
+Result<Object> LocalObjectApi::countWrite(Result<Object> result)
 {
     if (!ok(result)) {
         return result;
@@ -48,7 +48,7 @@
     if (outage) {
         co_return outageError;
     }
-    co_return answered(m_store.get(kind, name));
+    co_return withEpoch(m_store.get(kind, name));
 }
 
 Task<Result<Listing>> LocalObjectApi::list(std::string kind, std::string after, Freshness)
@@ -56,7 +56,7 @@
     if (outage) {
         co_return outageError;
     }
-    co_return answered(Result<Listing>(m_store.list(kind, after, pageLimit)));
+    co_return withEpoch(Result<Listing>(m_store.list(kind, after, pageLimit)));
 }
 
 Task<Result<Object>> LocalObjectApi::put(std::string kind, std::string name, nlohmann::json value, std::optional<uint64_t> ifVersion)
@@ -64,7 +64,7 @@
     if (outage) {
         co_return outageError;
     }
-    co_return answered(written(m_store.put(kind, name, value, ifVersion)));
+    co_return withEpoch(countWrite(m_store.put(kind, name, value, ifVersion)));
 }
 
 Task<Result<Object>> LocalObjectApi::remove(std::string kind, std::string name, std::optional<uint64_t> ifVersion)
@@ -72,7 +72,7 @@
     if (outage) {
         co_return outageError;
     }
-    co_return answered(written(m_store.remove(kind, name, ifVersion)));
+    co_return withEpoch(countWrite(m_store.remove(kind, name, ifVersion)));
 }
 
 Task<Result<WatchBatch>> LocalObjectApi::watch(std::string kind, uint64_t from, Millis, Freshness freshness, http::Cancellation *)
@@ -84,7 +84,7 @@
     if (freshness == Freshness::MayLag && replicaAt) {
         co_return WatchBatch{*replicaAt, {}, m_store.epoch()};
     }
-    co_return answered(m_store.since(from, {kind}));
+    co_return withEpoch(m_store.since(from, {kind}));
 }
 
 Task<bool> LocalObjectApi::answers(std::string)
--- a/emulators/local_object_api.h
+++ b/emulators/local_object_api.h
@@ -1,4 +1,4 @@
-// The object API in process, over a store in memory: for tests.
+// An in-process object API over an in-memory store, for tests.
 #pragma once
 
 #include "memory_store.h"
@@ -7,18 +7,19 @@
 namespace yucca::platform
 {
 
-/// The object API in process, over an ObjectStore, with faults a test can
-/// switch: an outage, and answers lost after the write took effect.
+/// An in-process object API over an ObjectStore. Tests can switch faults on: an outage, and responses lost after the
+/// write took effect.
 class LocalObjectApi : public ObjectApi
 {
 public:
+    /// The store must outlive the API.
     explicit LocalObjectApi(store::ObjectStore &store);
 
     Task<Result<Object>> get(std::string kind, std::string name, Freshness freshness) override;
     Task<Result<Listing>> list(std::string kind, std::string after, Freshness freshness) override;
     Task<Result<Object>> put(std::string kind, std::string name, nlohmann::json value, std::optional<uint64_t> ifVersion) override;
     Task<Result<Object>> remove(std::string kind, std::string name, std::optional<uint64_t> ifVersion) override;
-    /// Answers at once, also when nothing has changed.
+    /// Returns at once, even if nothing has changed: timeout and cancellation have no effect.
     Task<Result<WatchBatch>> watch(std::string kind, uint64_t from, Millis timeout, Freshness freshness, http::Cancellation *cancellation) override;
     Task<bool> answers(std::string kind) override;
     store::Epoch epoch() const override
@@ -26,18 +27,18 @@
         return m_epoch;
     }
 
-    bool outage = false;
-    int loseAnswers = 0; ///< the next N writes take effect, then report AnswerLost
+    bool outage = false; ///< all calls fail with Unavailable
+    int loseAnswers = 0; ///< the next N writes take effect and fail with AnswerLost
     int writes = 0; ///< writes that took effect
-    std::optional<uint64_t> replicaAt; ///< watches that may lag are answered as of this revision
-    int currentWatches = 0;
+    std::optional<uint64_t> replicaAt; ///< if set, watches that may lag return this revision without changes
+    int currentWatches = 0; ///< watches that asked for the current state
 
 private:
-    template <typename T> Result<T> answered(Result<T> result);
-    Result<Object> written(Result<Object> result);
+    template <typename T> Result<T> withEpoch(Result<T> result);
+    Result<Object> countWrite(Result<Object> result);
 
     store::ObjectStore &m_store;
-    store::Epoch m_epoch = 0; ///< that an answer told
+    store::Epoch m_epoch = 0; ///< epoch of the last response
 };
 
 } // namespace yucca::platform
--- a/emulators/memory_store.cpp
+++ b/emulators/memory_store.cpp
@@ -6,7 +6,7 @@
 {
 
 ObjectStore::ObjectStore(std::size_t history)
-    : m_historyLimit(history)
+    : m_maxHistory(history)
 {
 }
 
@@ -63,18 +63,18 @@
     return o;
 }
 
-// Appends a change to the bounded history that watches read.
+// Appends a change to the history for watches.
 void ObjectStore::record(bool deleted, const Object &o)
 {
     m_history.push_back({deleted, o.version, o});
-    while (m_history.size() > m_historyLimit) {
+    while (m_history.size() > m_maxHistory) {
         m_history.pop_front();
     }
 }
 
 namespace
 {
-bool wanted(const std::vector<std::string> &kinds, const std::string &kind)
+bool matchesKinds(const std::vector<std::string> &kinds, const std::string &kind)
 {
     return kinds.empty() || std::find(kinds.begin(), kinds.end(), kind) != kinds.end();
 }
@@ -91,17 +91,17 @@
     if (!m_history.empty() && from + 1 < m_history.front().revision) {
         return Error{Gone, "revision " + std::to_string(from) + " is no longer kept"};
     }
-    for (std::size_t i = firstAfter(from); i < m_history.size(); ++i) {
-        if (wanted(kinds, m_history[i].object.kind)) {
+    for (std::size_t i = firstIndexAfter(from); i < m_history.size(); ++i) {
+        if (matchesKinds(kinds, m_history[i].object.kind)) {
             b.events.push_back(m_history[i]);
         }
     }
     return b;
 }
 
-// The index of the first kept change after a revision. Every revision has
-// one change, so the history is an array indexed by revision.
-std::size_t ObjectStore::firstAfter(uint64_t revision) const
+// Returns the index of the first kept change after a revision. Each revision is one change, so the index follows from
+// the revision of the first one.
+std::size_t ObjectStore::firstIndexAfter(uint64_t revision) const
 {
     if (m_history.empty() || revision < m_history.front().revision) {
         return 0;
@@ -112,10 +112,10 @@
 bool ObjectStore::changedSince(uint64_t from, const std::vector<std::string> &kinds) const
 {
     if (from > m_revision || (!m_history.empty() && from + 1 < m_history.front().revision)) {
-        return true; // the watcher must hear that it is Gone
+        return true; // since() fails with Gone, which ends the wait
     }
-    for (std::size_t i = firstAfter(from); i < m_history.size(); ++i) {
-        if (wanted(kinds, m_history[i].object.kind)) {
+    for (std::size_t i = firstIndexAfter(from); i < m_history.size(); ++i) {
+        if (matchesKinds(kinds, m_history[i].object.kind)) {
             return true;
         }
     }
--- a/emulators/model/engine.h
+++ b/emulators/model/engine.h
@@ -1,6 +1,5 @@
-// A model engine in virtual time: continuous batching, prompts read in chunks
-// between the tokens of other requests, and prompt parts cached least
-// recently used in the memory that running requests share.
+// A simulated engine in virtual time: continuous batching, chunked prefill between the tokens of other requests, and
+// an LRU cache of prompt parts in the memory that running requests use too.
 #pragma once
 
 #include "entry/request_profile.h"
@@ -17,41 +16,43 @@
 namespace yucca::model
 {
 
-/// Milliseconds of virtual time since the day's start.
+/// Virtual time in milliseconds since the start of the simulation.
 using Ms = double;
 
-/// One request at a member, as the member sees it.
-struct Work {
+/// One request at a pool member.
+struct MemberRequest {
     uint64_t id = 0;
-    int priority = 5;
-    std::vector<entry::PromptPart> parts; ///< the last is its own
-    int64_t tokensToMake = 1;
-    double plainMs = 0; ///< of a plain call
-    std::function<void(Ms now, int64_t made, bool done)> onTokens; ///< after a step that made an event's worth
+    int priority = 5; ///< the lowest number is served first
+    std::vector<entry::PromptPart> parts; ///< the last one is unique to the request
+    int64_t outputTokens = 1; ///< length of the response
+    double plainMs = 0; ///< duration of a plain call
+    /// Called after the first token, after each event and at the end.
+    std::function<void(Ms now, int64_t generated, bool done)> onTokens;
 };
 
-/// What a pool's members count over a day.
+/// Counters over all members of a pool.
 struct MemberCounts {
     int64_t arrivals = 0;
-    int64_t turnedAway = 0;
-    int64_t tokensRead = 0; ///< of prompts
-    int64_t tokensFound = 0; ///< of prompts, in the cache
-    int64_t sharedReadAgain = 0; ///< of shared parts that some member had read before
-    int64_t tokensFetched = 0; ///< from another member's cache
+    int64_t rejected = 0; ///< rejected because the queue was full
+    int64_t tokensRead = 0; ///< prompt tokens prefilled
+    int64_t tokensFound = 0; ///< prompt tokens found in the cache
+    int64_t sharedReadAgain = 0; ///< tokens of shared parts that some member had prefilled before
+    int64_t tokensFetched = 0; ///< prompt tokens fetched from another member's cache
 };
 
-/// Parts that any member has read so far: what is read again is waste.
-using PartsRead = std::unordered_map<uint64_t, bool>;
+/// Ids of the shared parts that any member has prefilled so far. Prefilling one again is avoidable work.
+using PrefilledParts = std::unordered_map<uint64_t, bool>;
 
-/// Prompt parts that a member holds.
+/// The prompt parts that a member has cached, in order of last use.
 class PartCache
 {
 public:
-    /// The leading parts that are held, as a count; marks them used.
+    /// Returns the number of leading parts that are cached, and marks them as recently used.
     std::size_t match(const std::vector<entry::PromptPart> &parts);
+    /// Caches a part, without a limit on the size.
     void insert(const entry::PromptPart &part);
-    /// Gives up the least recently used parts until no more than room is held.
-    void shrink(int64_t room);
+    /// Evicts the least recently used parts until at most maxTokens tokens are cached.
+    void shrink(int64_t maxTokens);
     int64_t tokens() const
     {
         return m_tokens;
@@ -59,64 +60,66 @@
     void clear();
 
 private:
-    std::list<entry::PromptPart> m_used; ///< the last used first
-    std::unordered_map<uint64_t, std::list<entry::PromptPart>::iterator> m_places;
+    std::list<entry::PromptPart> m_lru; ///< the most recently used first
+    std::unordered_map<uint64_t, std::list<entry::PromptPart>::iterator> m_index;
     int64_t m_tokens = 0;
 };
 
-/// One member of a pool: an engine, or a plain endpoint.
+/// One simulated member of a pool: an engine or a plain endpoint.
 class Member
 {
 public:
-    /// At a time, calls back.
+    /// Schedules an action at a virtual time.
     using Schedule = std::function<void(Ms at, std::function<void(Ms)> action)>;
 
-    Member(const PoolModel &pool, double slowness, Schedule schedule, PartsRead &partsRead, MemberCounts &counts);
+    /// Durations of the pool model are multiplied by slowdown. The references must outlive the member.
+    Member(const PoolModel &pool, double slowdown, Schedule schedule, PrefilledParts &prefilledParts, MemberCounts &counts);
 
-    /// Takes a request, or turns it away when its queue is full.
-    bool take(Work work, Ms now);
-    /// Ends a request's work.
+    /// Queues or starts a request. Returns false if all slots are busy and the queue is full.
+    bool submit(MemberRequest request, Ms now);
+    /// Removes a request without calling its onTokens.
     void cancel(uint64_t id);
-    /// Ends all work and forgets all parts.
+    /// Drops all requests and cached parts.
     void crash();
-    /// Takes over what another member holds of a prompt.
-    void fetch(Member &from, const std::vector<entry::PromptPart> &parts);
-    /// Requests that run and wait now, and as told to those who ask.
+    /// Copies the leading parts of a prompt from the cache of another member.
+    void fetchParts(Member &from, const std::vector<entry::PromptPart> &parts);
+    /// Returns the number of running and waiting requests.
     int64_t load() const
     {
         return static_cast<int64_t>(m_running.size() + m_waiting.size());
     }
+    /// Returns the load as the member reports it, up to reportLagMs late. Also records a sample of the current load.
     int64_t reportedLoad(Ms now);
 
 private:
     struct Running {
-        Work work;
-        std::size_t nextPart = 0; ///< of the prompt, to be read
-        int64_t partRead = 0; ///< tokens of it
-        int64_t prompt = 0; ///< tokens of all parts
-        int64_t made = 0;
-        bool fresh = true; ///< has not had its first step
+        MemberRequest request;
+        std::size_t nextPart = 0; ///< index of the prompt part to prefill next
+        int64_t partTokensRead = 0; ///< tokens of that part already prefilled
+        int64_t promptTokens = 0; ///< tokens of all prompt parts
+        int64_t generated = 0; ///< generated tokens
+        bool firstStep = true; ///< its first step has not started
     };
 
     void admit();
     void startStep(Ms now);
     void endStep(Ms now, uint64_t generation);
-    double readPrompts();
+    double prefillChunk();
     void runPlain(Ms now);
-    int64_t heldByRunning() const;
+    int64_t runningTokens() const;
 
     const PoolModel &m_pool;
-    double m_slowness;
+    double m_slowdown;
     Schedule m_schedule;
-    PartsRead &m_partsRead;
+    PrefilledParts &m_prefilledParts;
     MemberCounts &m_counts;
     PartCache m_cache;
-    std::map<std::pair<int, uint64_t>, Work> m_waiting; ///< by priority, then arrival
+    std::map<std::pair<int, uint64_t>, MemberRequest> m_waiting; ///< by priority, then arrival
     std::list<Running> m_running;
-    std::deque<std::pair<Ms, int64_t>> m_loads; ///< as they were, for late reports
-    uint64_t m_tickets = 0;
-    uint64_t m_generation = 0; ///< of the process: a crash ends its steps
-    bool m_stepping = false;
+    std::deque<std::pair<Ms, int64_t>> m_loads; ///< samples for delayed reports
+    uint64_t m_nextArrival = 0;
+    uint64_t m_generation = 0; ///< incremented by a crash, which invalidates scheduled steps
+    bool m_stepScheduled = false; ///< a step is scheduled
 };
 
 } // namespace yucca::model
--- a/emulators/model/fleet.cpp
+++ b/emulators/model/fleet.cpp
@@ -17,17 +17,17 @@
 namespace
 {
 
-constexpr Ms sampleEvery = 100;
-constexpr Ms listedAfter = 600; ///< until routers hear of a heartbeat: half of its interval
-constexpr Ms sharedAfter = 0.5; ///< a datagram within a failure domain, and its reading
-constexpr std::size_t boundWindowS = 5;
+constexpr Ms sampleInterval = 100; ///< between two samples of the loads
+constexpr Ms listingDelay = 600; ///< until routers learn of a restart: half a heartbeat interval
+constexpr Ms shareDelay = 0.5; ///< to send and process a datagram within a failure domain
+constexpr std::size_t boundWindowS = 5; ///< the load bound is judged over windows of this length
 
 std::string memberName(const std::string &pool, std::size_t member)
 {
     return pool + "-" + std::to_string(member);
 }
 
-// The largest share of arrivals over the bound in any window.
+// Returns the largest share of arrivals over the load bound in any window.
 double worstWindowOf(const PoolOutcome &pool)
 {
     double worst = 0;
@@ -59,10 +59,10 @@
 
 Fleet::Fleet(const Scenario &scenario, const router::TableOptions &table)
     : m_scenario(scenario)
-    , m_random(static_cast<uint64_t>(scenario.seed))
+    , m_rng(static_cast<uint64_t>(scenario.seed))
 {
-    m_retries.ratio = scenario.retryRatio;
-    m_retries.reserve = static_cast<double>(scenario.retrySlack) / static_cast<double>(scenario.routers);
+    m_retryLimits.ratio = scenario.retryRatio;
+    m_retryLimits.reserve = static_cast<double>(scenario.retrySlack) / static_cast<double>(scenario.routers);
     for (int64_t i = 0; i < scenario.routers; ++i) {
         m_routers.push_back(std::make_unique<Router>(table));
     }
@@ -70,26 +70,26 @@
     makeSources();
 }
 
-// Virtual time as the decisions see it: well after the epoch, which means "never" to them.
-Clock::time_point Fleet::timeOf(Ms ms)
+// Converts virtual time for the routing code. It starts well after the epoch, which means "never" there.
+Clock::time_point Fleet::clockTime(Ms ms)
 {
     return Clock::time_point(std::chrono::hours(1)) + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double, std::milli>(ms));
 }
 
 void Fleet::schedule(Ms at, std::function<void(Ms)> action)
 {
-    m_events.push({at, m_order++, std::move(action)});
+    m_events.push({at, m_nextOrder++, std::move(action)});
 }
 
-double Fleet::unit()
+double Fleet::uniform()
 {
-    return boost::random::uniform_01<double>()(m_random);
+    return boost::random::uniform_01<double>()(m_rng);
 }
 
-// A lognormal figure with a mean, and a spread of its logarithm.
-double Fleet::spread(double mean, double sigma)
+// Draws a lognormal value with the given mean and standard deviation of the logarithm.
+double Fleet::lognormal(double mean, double sigma)
 {
-    return boost::random::lognormal_distribution<double>(std::log(mean) - sigma * sigma / 2, sigma)(m_random);
+    return boost::random::lognormal_distribution<double>(std::log(mean) - sigma * sigma / 2, sigma)(m_rng);
 }
 
 void Fleet::makePools()
@@ -98,36 +98,36 @@
         auto &pool = m_pools[model.name];
         pool.model = m_scenario.pool(model.name);
         for (std::size_t i = 0; i < static_cast<std::size_t>(model.members); ++i) {
-            const double slowness = i % 3 == 2 ? model.slowest : 1.0;
+            const double slowdown = i % 3 == 2 ? model.slowest : 1.0;
             const auto scheduler = [this](Ms at, std::function<void(Ms)> action) {
                 schedule(at, std::move(action));
             };
-            pool.members.push_back(std::make_unique<Member>(*pool.model, slowness, scheduler, pool.partsRead, pool.counts));
+            pool.members.push_back(std::make_unique<Member>(*pool.model, slowdown, scheduler, pool.prefilledParts, pool.counts));
             Endpoint e;
             e.id = memberName(model.name, i);
             e.port = static_cast<uint16_t>(i);
             e.pool = model.name;
             e.kind = model.engines ? EndpointKind::Engine : EndpointKind::Service;
-            m_listed.push_back(std::move(e));
+            m_endpoints.push_back(std::move(e));
         }
         pool.down.assign(pool.members.size(), false);
     }
     for (const auto &router : m_routers) {
-        router->table.setEndpoints(m_listed, timeOf(0));
+        router->table.setEndpoints(m_endpoints, clockTime(0));
     }
 }
 
-// A member starts again under its id; routers hear of it with its first heartbeat.
-void Fleet::restarted(const PoolModel &pool, std::size_t member, Ms now)
+// Lists the restart of a member under its old id. Routers learn of it after a delay.
+void Fleet::listRestart(const PoolModel &pool, std::size_t member, Ms now)
 {
     const std::string id = memberName(pool.name, member);
-    const auto entry = std::find_if(m_listed.begin(), m_listed.end(), [&](const Endpoint &e) {
+    const auto entry = std::find_if(m_endpoints.begin(), m_endpoints.end(), [&](const Endpoint &e) {
         return e.id == id;
     });
     entry->born = static_cast<int64_t>(now);
-    schedule(now + listedAfter, [this](Ms at) {
+    schedule(now + listingDelay, [this](Ms at) {
         for (const auto &router : m_routers) {
-            router->table.setEndpoints(m_listed, timeOf(at));
+            router->table.setEndpoints(m_endpoints, clockTime(at));
         }
     });
 }
@@ -140,15 +140,15 @@
         source.route = routeOf(kind);
         for (int64_t i = 0; i < kind.sharedParts; ++i) {
             const uint64_t id = ring::hash(kind.name + "/shared/" + std::to_string(i), static_cast<uint64_t>(m_scenario.seed));
-            source.sharedParts.push_back({id, std::max<int64_t>(1, static_cast<int64_t>(spread(kind.sharedTokens, 0.4)))});
+            source.sharedParts.push_back({id, std::max<int64_t>(1, static_cast<int64_t>(lognormal(kind.sharedTokens, 0.4)))});
         }
         double sum = 0;
         for (int64_t i = 0; i < kind.sessions; ++i) {
             sum += std::pow(static_cast<double>(i + 1), -kind.sessionSkew);
             source.popularity.push_back(sum);
             const uint64_t id = ring::hash(kind.name + "/session/" + std::to_string(i), static_cast<uint64_t>(m_scenario.seed));
-            source.sessionParts.push_back({id, std::max<int64_t>(1, static_cast<int64_t>(spread(kind.sessionTokens, kind.sessionSpread)))});
-            source.sharedPartOf.push_back(m_random() % source.sharedParts.size());
+            source.sessionParts.push_back({id, std::max<int64_t>(1, static_cast<int64_t>(lognormal(kind.sessionTokens, kind.sessionSpread)))});
+            source.sharedPartOf.push_back(m_rng() % source.sharedParts.size());
         }
         m_sources.push_back(std::move(source));
     }
@@ -158,11 +158,11 @@
 {
     for (std::size_t i = 0; i < m_sources.size(); ++i) {
         schedule(0, [this, i](Ms now) {
-            arrive(i, now);
+            sendNextRequest(i, now);
         });
     }
     for (std::size_t i = 0; i < m_routers.size() && m_scenario.shareEveryMs > 0; ++i) {
-        schedule(unit() * static_cast<double>(m_scenario.shareEveryMs), [this, i](Ms now) {
+        schedule(uniform() * static_cast<double>(m_scenario.shareEveryMs), [this, i](Ms now) {
             shareLoads(i, now);
         });
     }
@@ -174,21 +174,21 @@
     std::function<void(Ms)> sample = [this, &sample](Ms now) {
         for (auto &[name, pool] : m_pools) {
             int64_t total = 0;
-            int64_t most = 0;
+            int64_t highest = 0;
             for (const auto &member : pool.members) {
                 total += member->load();
-                most = std::max(most, member->load());
+                highest = std::max(highest, member->load());
             }
             const double mean = static_cast<double>(total) / static_cast<double>(pool.members.size());
             auto &worst = m_outcome.pools[name].worstSkew;
-            worst = mean >= 1 ? std::max(worst, static_cast<double>(most) / mean) : worst;
+            worst = mean >= 1 ? std::max(worst, static_cast<double>(highest) / mean) : worst;
         }
         if (now < m_scenario.seconds * 1000) {
-            schedule(now + sampleEvery, sample);
+            schedule(now + sampleInterval, sample);
         }
     };
-    schedule(sampleEvery, sample);
-    // Requests come until the day's end; the last ones are played to theirs.
+    schedule(sampleInterval, sample);
+    // No request is sent after the scenario's duration; the loop runs until the last ones have ended.
     while (!m_events.empty()) {
         const Event event = m_events.top();
         m_events.pop();
@@ -196,7 +196,7 @@
     }
     for (auto &[name, pool] : m_pools) {
         auto &out = m_outcome.pools[name];
-        out.turnedAway = pool.counts.turnedAway;
+        out.rejected = pool.counts.rejected;
         out.tokensRead = pool.counts.tokensRead;
         out.tokensFound = pool.counts.tokensFound;
         out.sharedReadAgain = pool.counts.sharedReadAgain;
@@ -206,13 +206,13 @@
     return m_outcome;
 }
 
-// How many times the usual rate a kind has now.
+// Returns the current request rate of a kind as a multiple of its usual one.
 double Fleet::rateFactor(const KindModel &kind, Ms now) const
 {
     double factor = m_scenario.rate;
     for (const auto &s : m_scenario.surges) {
-        const bool in = now >= s.atS * 1000 && now < (s.atS + s.forS) * 1000;
-        factor *= in && (s.kind.empty() || s.kind == kind.name) ? s.factor : 1;
+        const bool active = now >= s.atS * 1000 && now < (s.atS + s.forS) * 1000;
+        factor *= active && (s.kind.empty() || s.kind == kind.name) ? s.factor : 1;
     }
     return factor;
 }
@@ -220,27 +220,27 @@
 std::size_t Fleet::drawSession(const Source &source, Ms now)
 {
     for (const auto &s : m_scenario.surges) {
-        const bool in = now >= s.atS * 1000 && now < (s.atS + s.forS) * 1000;
-        if (in && s.kind == source.kind->name && unit() < s.hotShare) {
+        const bool active = now >= s.atS * 1000 && now < (s.atS + s.forS) * 1000;
+        if (active && s.kind == source.kind->name && uniform() < s.hotShare) {
             return 0;
         }
     }
-    const double at = unit() * source.popularity.back();
+    const double at = uniform() * source.popularity.back();
     return static_cast<std::size_t>(std::upper_bound(source.popularity.begin(), source.popularity.end(), at) - source.popularity.begin());
 }
 
-// One request of a kind, and the time of the next.
-void Fleet::arrive(std::size_t sourceAt, Ms now)
+// Sends one request of a kind and schedules the next one.
+void Fleet::sendNextRequest(std::size_t sourceIndex, Ms now)
 {
     if (now >= m_scenario.seconds * 1000) {
         return;
     }
-    Source &source = m_sources[sourceAt];
+    Source &source = m_sources[sourceIndex];
     const KindModel &kind = *source.kind;
     const double perMs = kind.perS * rateFactor(kind, now) / 1000;
-    const Ms gap = perMs > 0 ? boost::random::exponential_distribution<double>(perMs)(m_random) : sampleEvery;
-    schedule(now + gap, [this, sourceAt](Ms at) {
-        arrive(sourceAt, at);
+    const Ms gap = perMs > 0 ? boost::random::exponential_distribution<double>(perMs)(m_rng) : sampleInterval;
+    schedule(now + gap, [this, sourceIndex](Ms at) {
+        sendNextRequest(sourceIndex, at);
     });
     if (perMs <= 0) {
         return;
@@ -251,12 +251,12 @@
     request->deadline = now + static_cast<double>(kind.timeoutMs);
     if (m_scenario.pool(kind.pool)->engines) {
         const std::size_t session = drawSession(source, now);
-        const auto own = std::max<int64_t>(1, static_cast<int64_t>(spread(kind.ownTokens, kind.ownSpread)));
-        request->parts = {source.sharedParts[source.sharedPartOf[session]], source.sessionParts[session], {m_random(), own}};
-        const double events = std::max(1.0, spread(kind.events, kind.eventsSpread));
-        request->tokensToMake = std::max<int64_t>(1, static_cast<int64_t>(events * static_cast<double>(m_scenario.pool(kind.pool)->tokensPerEvent)));
+        const auto own = std::max<int64_t>(1, static_cast<int64_t>(lognormal(kind.ownTokens, kind.ownSpread)));
+        request->parts = {source.sharedParts[source.sharedPartOf[session]], source.sessionParts[session], {m_rng(), own}};
+        const double events = std::max(1.0, lognormal(kind.events, kind.eventsSpread));
+        request->outputTokens = std::max<int64_t>(1, static_cast<int64_t>(events * static_cast<double>(m_scenario.pool(kind.pool)->tokensPerEvent)));
     } else {
-        request->plainMs = spread(kind.workMs, kind.workSpread);
+        request->plainMs = lognormal(kind.workMs, kind.workSpread);
     }
     auto &k = m_outcome.kinds[kind.name];
     ++k.offered;
@@ -265,41 +265,41 @@
     send(request, now);
 }
 
-// Leaves some of a list, drawn at random.
-void Fleet::drawSome(std::vector<std::size_t> &list, std::size_t most)
+// Reduces a list to a random subset of at most the given size.
+void Fleet::keepRandomSubset(std::vector<std::size_t> &list, std::size_t limit)
 {
-    boost::random::random_number_generator<decltype(m_random)> draw(m_random);
+    boost::random::random_number_generator<decltype(m_rng)> draw(m_rng);
     for (std::size_t i = list.size(); i > 1; --i) {
         std::swap(list[i - 1], list[static_cast<std::size_t>(draw(static_cast<long>(i)))]);
     }
-    list.resize(std::min(list.size(), most));
+    list.resize(std::min(list.size(), limit));
 }
 
-// Tells some routers the loads and prompts that are news since the last round.
+// Runs one share round of a router: sends load reports and prompts received since the last round to some other routers.
 void Fleet::shareLoads(std::size_t router, Ms now)
 {
     const auto domains = static_cast<std::size_t>(m_scenario.failureDomains);
-    const auto reports = m_routers[router]->table.heardSince(timeOf(m_routers[router]->toldUpTo));
-    m_routers[router]->toldUpTo = now;
+    const auto reports = m_routers[router]->table.heardSince(clockTime(m_routers[router]->lastShareAt));
+    m_routers[router]->lastShareAt = now;
     const auto prompts = m_routers[router]->table.takePromptNews(peers::mostPrompts);
-    std::vector<std::size_t> near;
-    std::vector<std::size_t> far;
+    std::vector<std::size_t> sameDomain;
+    std::vector<std::size_t> otherDomains;
     for (std::size_t i = 0; i < m_routers.size(); ++i) {
         if (i != router) {
-            (i % domains == router % domains ? near : far).push_back(i);
+            (i % domains == router % domains ? sameDomain : otherDomains).push_back(i);
         }
     }
-    const auto most = static_cast<std::size_t>(m_scenario.sharePeers);
-    drawSome(near, std::min(most, peers::ExchangeOptions().mostNearTold));
-    drawSome(far, most - near.size());
-    near.insert(near.end(), far.begin(), far.end());
-    schedule(now + sharedAfter, [this, told = std::move(near), reports, prompts](Ms at) {
-        for (const std::size_t peer : told) {
+    const auto peerLimit = static_cast<std::size_t>(m_scenario.sharePeers);
+    keepRandomSubset(sameDomain, std::min(peerLimit, peers::ExchangeOptions().mostNearTold));
+    keepRandomSubset(otherDomains, peerLimit - sameDomain.size());
+    sameDomain.insert(sameDomain.end(), otherDomains.begin(), otherDomains.end());
+    schedule(now + shareDelay, [this, receivers = std::move(sameDomain), reports, prompts](Ms at) {
+        for (const std::size_t peer : receivers) {
             for (const auto &report : reports) {
                 m_routers[peer]->table.toldOf(report);
             }
-            for (const auto &news : prompts) {
-                m_routers[peer]->table.toldOfPrompt(news, timeOf(at));
+            for (const auto &prompt : prompts) {
+                m_routers[peer]->table.toldOfPrompt(prompt, clockTime(at));
             }
         }
     });
@@ -314,14 +314,14 @@
 {
     Pool &pool = m_pools.at(crash.pool);
     const auto count = static_cast<std::size_t>(std::ceil(crash.share * static_cast<double>(pool.members.size())));
-    const std::size_t first = m_random() % pool.members.size();
+    const std::size_t first = m_rng() % pool.members.size();
     for (std::size_t i = 0; i < count; ++i) {
         const std::size_t at = (first + i) % pool.members.size();
         pool.down[at] = true;
         pool.members[at]->crash();
-        schedule(now + crash.forS * 1000, [this, &pool, at](Ms back) {
+        schedule(now + crash.forS * 1000, [this, &pool, at](Ms restartedAt) {
             pool.down[at] = false;
-            restarted(*pool.model, at, back);
+            listRestart(*pool.model, at, restartedAt);
         });
     }
 }
--- a/emulators/model/fleet.h
+++ b/emulators/model/fleet.h
@@ -1,5 +1,5 @@
-// A whole deployment in virtual time: callers, routers that decide with the
-// product's own code, and the members of the pools. Seeded and deterministic.
+// The simulation of a whole deployment in virtual time: callers, routers that use the real routing code, and the
+// members of the pools. Seeded and deterministic.
 #pragma once
 
 #include "admission.h"
@@ -24,15 +24,16 @@
 namespace yucca::model
 {
 
-/// Plays one day of a scenario.
+/// Simulates one scenario.
 class Fleet
 {
 public:
     Fleet(const Scenario &scenario, const router::TableOptions &table);
+    /// Runs the simulation to its end. Must be called once.
     Outcome play();
 
 private:
-    /// One event of virtual time.
+    /// An action at a virtual time. Actions at the same time run in the order in which they were scheduled.
     struct Event {
         Ms at;
         uint64_t order;
@@ -46,11 +47,11 @@
     struct Pool {
         const PoolModel *model = nullptr;
         std::vector<std::unique_ptr<Member>> members;
-        std::vector<bool> down;
-        PartsRead partsRead;
+        std::vector<bool> down; ///< by member: crashed and not yet restarted
+        PrefilledParts prefilledParts;
         MemberCounts counts;
     };
-    /// What one router knows.
+    /// The state of one router.
     struct Router {
         explicit Router(const router::TableOptions &options)
             : table(options)
@@ -59,22 +60,22 @@
         router::RoutingTable table;
         std::map<std::string, limits::RetryBudget> budgets;
         std::map<std::string, entry::OutlierDetector> outliers;
-        Ms toldUpTo = 0; ///< which reports its peers know
+        Ms lastShareAt = 0; ///< time of the last share round
     };
-    /// What a kind draws its requests from.
+    /// The source of the requests of one kind.
     struct Source {
         const KindModel *kind = nullptr;
         entry::Route route;
-        std::vector<double> popularity; ///< of the sessions, summed up
+        std::vector<double> popularity; ///< of the sessions, cumulative
         std::vector<entry::PromptPart> sharedParts;
         std::vector<entry::PromptPart> sessionParts;
-        std::vector<std::size_t> sharedPartOf; ///< of each session
+        std::vector<std::size_t> sharedPartOf; ///< index of the shared part of each session
     };
-    /// One request of a caller, over the caller's attempts.
+    /// A caller's request, over all attempts of the caller.
     struct Request {
         const Source *source = nullptr;
         std::vector<entry::PromptPart> parts;
-        int64_t tokensToMake = 1;
+        int64_t outputTokens = 1;
         double plainMs = 0;
         Ms sentAt = 0;
         Ms deadline = 0;
@@ -82,51 +83,52 @@
         bool ended = false;
     };
     using RequestPtr = std::shared_ptr<Request>;
-    /// One attempt of a caller at one router.
-    struct Flight {
+    /// One attempt of a caller, at one router.
+    struct CallerAttempt {
         RequestPtr request;
         std::size_t router = 0;
-        entry::AttemptCount count;
+        entry::AttemptCount count; ///< of the router's attempts at members
         std::set<std::string> tried;
         placement::Affinity affinity;
-        Ms firstAt = -1; ///< the first event, or the answer
+        Ms firstAt = -1; ///< when the router received the first event or the response; -1: not yet
     };
-    using FlightPtr = std::shared_ptr<Flight>;
+    using CallerAttemptPtr = std::shared_ptr<CallerAttempt>;
 
-    static Clock::time_point timeOf(Ms ms);
+    static Clock::time_point clockTime(Ms ms);
     void schedule(Ms at, std::function<void(Ms)> action);
     void makePools();
     void makeSources();
-    void arrive(std::size_t source, Ms now);
+    void sendNextRequest(std::size_t sourceIndex, Ms now);
     double rateFactor(const KindModel &kind, Ms now) const;
     std::size_t drawSession(const Source &source, Ms now);
     void send(const RequestPtr &request, Ms now);
-    void attempt(const FlightPtr &flight, Ms now);
-    void reach(const FlightPtr &flight, const Endpoint &endpoint, std::size_t member, Ms now, const std::optional<Endpoint> &holder);
-    void ended(const FlightPtr &flight, const Endpoint &endpoint, entry::AttemptEnd end, Ms now);
-    void refuse(const FlightPtr &flight, Ms now);
-    void finish(const FlightPtr &flight, bool served, bool refused, Ms now);
-    void noteArrival(Pool &pool, std::size_t member, Ms now);
-    void drawSome(std::vector<std::size_t> &list, std::size_t most);
+    void tryNextMember(const CallerAttemptPtr &callerAttempt, Ms now);
+    void arriveAtMember(const CallerAttemptPtr &callerAttempt, const Endpoint &endpoint, std::size_t memberIndex, Ms now,
+                        const std::optional<Endpoint> &holder);
+    void finishAttempt(const CallerAttemptPtr &callerAttempt, const Endpoint &endpoint, entry::AttemptEnd end, Ms now);
+    void reject(const CallerAttemptPtr &callerAttempt, Ms now);
+    void finish(const CallerAttemptPtr &callerAttempt, bool served, bool rejected, Ms now);
+    void countArrival(Pool &pool, std::size_t member, Ms now);
+    void keepRandomSubset(std::vector<std::size_t> &list, std::size_t limit);
     void shareLoads(std::size_t router, Ms now);
     void crash(const Crash &crash, Ms now);
-    void restarted(const PoolModel &pool, std::size_t member, Ms now);
-    std::size_t memberOf(const Endpoint &endpoint) const;
-    double oneWay(std::size_t router, std::size_t member) const;
-    double unit();
-    double spread(double mean, double sigma);
+    void listRestart(const PoolModel &pool, std::size_t member, Ms now);
+    std::size_t indexOfMember(const Endpoint &endpoint) const;
+    double oneWayDelay(std::size_t router, std::size_t member) const;
+    double uniform();
+    double lognormal(double mean, double sigma);
 
     Scenario m_scenario;
-    boost::random::mt19937_64 m_random;
+    boost::random::mt19937_64 m_rng;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
-    uint64_t m_order = 0;
+    uint64_t m_nextOrder = 0;
     uint64_t m_nextId = 1;
     std::map<std::string, Pool> m_pools;
-    std::vector<Endpoint> m_listed; ///< as the store lists them
+    std::vector<Endpoint> m_endpoints; ///< as listed in the store
     std::vector<std::unique_ptr<Router>> m_routers;
     std::vector<Source> m_sources;
-    entry::ComeBackOptions m_comeBack;
-    limits::RetryLimits m_retries; ///< of one router
+    entry::ComeBackOptions m_retryAfterOptions;
+    limits::RetryLimits m_retryLimits; ///< of one router
     Outcome m_outcome;
 };
 
--- a/emulators/model/fleet_requests.cpp
+++ b/emulators/model/fleet_requests.cpp
@@ -1,5 +1,5 @@
-// A request's way through the modelled fleet: a caller's attempt, the
-// router's attempts at members, and its end.
+// The path of a request through the simulated fleet: the attempts of the caller, the attempts of the router at
+// members, and the result.
 #include "model/fleet.h"
 
 #include "entry/entry_settings.h"
@@ -12,76 +12,76 @@
 namespace
 {
 
-constexpr double boundSlack = 3; ///< requests: the users' bound on a member's load is their multiple of the mean, plus three
-constexpr Ms refusedConnectMs = 1; ///< until a dead member's port answers a SYN with a reset
-constexpr Ms longestWait = 1.0 / 3; ///< of the time left that a caller waits when told to come back
+constexpr double loadBoundSlack = 3; ///< requests: a member may hold loadFactor times the mean load plus this
+constexpr Ms refusedConnectMs = 1; ///< until a connection to a crashed member is refused
+constexpr Ms maxWaitShare = 1.0 / 3; ///< share of the remaining time that a caller waits at most after Retry-After
 
 } // namespace
 
-// A caller's attempt: at a router that the balancer picks.
+// Starts an attempt of a caller at a random router.
 void Fleet::send(const RequestPtr &request, Ms now)
 {
-    auto flight = std::make_shared<Flight>();
-    flight->request = request;
-    flight->router = m_random() % m_routers.size();
-    const uint64_t key = request->parts.empty() ? m_random() : request->parts[1].id;
-    flight->affinity = {key, key};
+    auto callerAttempt = std::make_shared<CallerAttempt>();
+    callerAttempt->request = request;
+    callerAttempt->router = m_rng() % m_routers.size();
+    const uint64_t key = request->parts.empty() ? m_rng() : request->parts[1].id;
+    callerAttempt->affinity = {key, key};
     const std::string &pool = request->source->kind->pool;
-    auto &budgets = m_routers[flight->router]->budgets;
-    budgets.try_emplace(pool, m_retries).first->second.earn(timeOf(now));
-    schedule(now + m_scenario.callerMs, [this, flight](Ms at) {
-        attempt(flight, at);
+    auto &budgets = m_routers[callerAttempt->router]->budgets;
+    budgets.try_emplace(pool, m_retryLimits).first->second.earn(clockTime(now));
+    schedule(now + m_scenario.callerMs, [this, callerAttempt](Ms at) {
+        tryNextMember(callerAttempt, at);
     });
 }
 
-std::size_t Fleet::memberOf(const Endpoint &endpoint) const
+std::size_t Fleet::indexOfMember(const Endpoint &endpoint) const
 {
     return endpoint.port;
 }
 
-double Fleet::oneWay(std::size_t router, std::size_t member) const
+double Fleet::oneWayDelay(std::size_t router, std::size_t member) const
 {
     const auto domains = static_cast<std::size_t>(m_scenario.failureDomains);
     return router % domains == member % domains ? 0.2 : m_scenario.crossDomainMs;
 }
 
-void Fleet::attempt(const FlightPtr &flight, Ms now)
+void Fleet::tryNextMember(const CallerAttemptPtr &callerAttempt, Ms now)
 {
-    Router &router = *m_routers[flight->router];
-    const auto &request = *flight->request;
+    Router &router = *m_routers[callerAttempt->router];
+    const auto &request = *callerAttempt->request;
     const std::string &pool = request.source->kind->pool;
     if (now >= request.deadline) {
-        finish(flight, false, false, now);
+        finish(callerAttempt, false, false, now);
         return;
     }
-    const auto at = timeOf(now);
-    const auto endpoint = router.table.acquire(pool, flight->affinity, flight->tried, at);
+    const auto at = clockTime(now);
+    const auto endpoint = router.table.acquire(pool, callerAttempt->affinity, callerAttempt->tried, at);
     if (!endpoint) {
-        refuse(flight, now);
+        reject(callerAttempt, now);
         return;
     }
-    if (flight->count.arrivals > 0) {
+    if (callerAttempt->count.arrivals > 0) {
         if (!router.budgets.at(pool).spend(at)) {
             router.table.release(*endpoint, at);
-            refuse(flight, now);
+            reject(callerAttempt, now);
             return;
         }
         ++m_outcome.retries;
     }
-    flight->tried.insert(endpoint->id);
-    ++flight->count.sends;
+    callerAttempt->tried.insert(endpoint->id);
+    ++callerAttempt->count.sends;
     std::optional<Endpoint> holder;
     if (!request.parts.empty()) {
-        holder = router.table.beliefOf(flight->affinity.conversation, *endpoint, at).source;
+        holder = router.table.beliefOf(callerAttempt->affinity.conversation, *endpoint, at).source;
     }
-    const std::size_t member = memberOf(*endpoint);
-    schedule(now + oneWay(flight->router, member), [this, flight, e = *endpoint, member, holder](Ms reachedAt) {
-        reach(flight, e, member, reachedAt, holder);
+    const std::size_t member = indexOfMember(*endpoint);
+    schedule(now + oneWayDelay(callerAttempt->router, member), [this, callerAttempt, e = *endpoint, member, holder](Ms reachedAt) {
+        arriveAtMember(callerAttempt, e, member, reachedAt, holder);
     });
 }
 
-// Counts a request that reaches a member, and whether that one is over the bound.
-void Fleet::noteArrival(Pool &pool, std::size_t member, Ms now)
+// Counts a request that arrives at a member, and whether the member is over the load bound.
+void Fleet::countArrival(Pool &pool, std::size_t member, Ms now)
 {
     int64_t total = 0;
     int64_t up = 0;
@@ -90,7 +90,7 @@
         up += pool.down[i] ? 0 : 1;
     }
     const double mean = static_cast<double>(total) / static_cast<double>(std::max<int64_t>(1, up));
-    const bool over = static_cast<double>(pool.members[member]->load()) > m_scenario.loadFactor * mean + boundSlack;
+    const bool over = static_cast<double>(pool.members[member]->load()) > m_scenario.loadFactor * mean + loadBoundSlack;
     auto &out = m_outcome.pools[pool.model->name];
     ++out.arrivals;
     out.overBound += over ? 1 : 0;
@@ -98,129 +98,131 @@
     addAt<int64_t>(out.overBoundAt, now, 1000, over ? 1 : 0);
 }
 
-// A request reaches a member: it is turned away, or works until it is done
-// or its time is up.
-void Fleet::reach(const FlightPtr &flight, const Endpoint &endpoint, std::size_t memberAt, Ms now, const std::optional<Endpoint> &holder)
+// Handles the arrival of a request at a member: the member is down, rejects the request, or runs it until it is done,
+// the deadline passes or the member crashes.
+void Fleet::arriveAtMember(const CallerAttemptPtr &callerAttempt, const Endpoint &endpoint, std::size_t memberIndex, Ms now,
+                           const std::optional<Endpoint> &holder)
 {
-    auto &request = *flight->request;
+    auto &request = *callerAttempt->request;
     const KindModel &kind = *request.source->kind;
     Pool &pool = m_pools.at(kind.pool);
-    const double back = oneWay(flight->router, memberAt);
-    if (pool.down[memberAt]) {
-        schedule(now + back + refusedConnectMs, [this, flight, endpoint](Ms at) {
-            m_routers[flight->router]->table.suspect(endpoint.id, timeOf(at));
-            ended(flight, endpoint, entry::AttemptEnd::Unreached, at);
+    const double returnDelay = oneWayDelay(callerAttempt->router, memberIndex);
+    if (pool.down[memberIndex]) {
+        schedule(now + returnDelay + refusedConnectMs, [this, callerAttempt, endpoint](Ms at) {
+            m_routers[callerAttempt->router]->table.suspect(endpoint.id, clockTime(at));
+            finishAttempt(callerAttempt, endpoint, entry::AttemptEnd::Unreached, at);
         });
         return;
     }
-    Member &member = *pool.members[memberAt];
-    noteArrival(pool, memberAt, now);
-    ++flight->count.arrivals;
+    Member &member = *pool.members[memberIndex];
+    countArrival(pool, memberIndex, now);
+    ++callerAttempt->count.arrivals;
     if (holder) {
-        member.fetch(*pool.members[memberOf(*holder)], {request.parts.begin(), request.parts.end() - 1});
+        member.fetchParts(*pool.members[indexOfMember(*holder)], {request.parts.begin(), request.parts.end() - 1});
     }
     const uint64_t id = m_nextId++;
-    auto over = std::make_shared<bool>(false);
-    Work work;
-    work.id = id;
-    work.priority = static_cast<int>(kind.priority);
-    work.parts = request.parts;
-    work.tokensToMake = request.tokensToMake;
-    work.plainMs = request.plainMs;
-    const bool fails = kind.failing > 0 && unit() < kind.failing;
-    work.onTokens = [this, flight, endpoint, &member, back, over, fails](Ms madeAt, int64_t, bool done) {
-        const int64_t load = member.reportedLoad(madeAt);
-        schedule(madeAt + back, [this, flight, endpoint, over, load, done, fails](Ms at) {
-            if (*over) {
+    auto finished = std::make_shared<bool>(false);
+    MemberRequest memberRequest;
+    memberRequest.id = id;
+    memberRequest.priority = static_cast<int>(kind.priority);
+    memberRequest.parts = request.parts;
+    memberRequest.outputTokens = request.outputTokens;
+    memberRequest.plainMs = request.plainMs;
+    const bool fails = kind.failing > 0 && uniform() < kind.failing;
+    memberRequest.onTokens = [this, callerAttempt, endpoint, &member, returnDelay, finished, fails](Ms generatedAt, int64_t, bool done) {
+        const int64_t load = member.reportedLoad(generatedAt);
+        schedule(generatedAt + returnDelay, [this, callerAttempt, endpoint, finished, load, done, fails](Ms at) {
+            if (*finished) {
                 return;
             }
-            auto &router = *m_routers[flight->router];
-            if (flight->firstAt < 0) {
-                flight->firstAt = at;
-                router.table.reported(endpoint.id, load, timeOf(at));
+            auto &router = *m_routers[callerAttempt->router];
+            if (callerAttempt->firstAt < 0) {
+                callerAttempt->firstAt = at;
+                router.table.reported(endpoint.id, load, clockTime(at));
                 router.table.recovered(endpoint.id);
-                if (!flight->request->parts.empty()) {
-                    router.table.tookPrompt(flight->affinity.conversation, endpoint, timeOf(at));
+                if (!callerAttempt->request->parts.empty()) {
+                    router.table.tookPrompt(callerAttempt->affinity.conversation, endpoint, clockTime(at));
                 }
             }
             if (done) {
-                *over = true;
-                ended(flight, endpoint, fails ? entry::AttemptEnd::EngineFailed : entry::AttemptEnd::Delivered, at);
+                *finished = true;
+                finishAttempt(callerAttempt, endpoint, fails ? entry::AttemptEnd::EngineFailed : entry::AttemptEnd::Delivered, at);
             }
         });
     };
-    if (!member.take(std::move(work), now)) {
+    if (!member.submit(std::move(memberRequest), now)) {
         const int64_t load = member.reportedLoad(now);
-        schedule(now + back, [this, flight, endpoint, load](Ms at) {
-            m_routers[flight->router]->table.reported(endpoint.id, load, timeOf(at));
-            ended(flight, endpoint, entry::AttemptEnd::NotExecuted, at);
+        schedule(now + returnDelay, [this, callerAttempt, endpoint, load](Ms at) {
+            m_routers[callerAttempt->router]->table.reported(endpoint.id, load, clockTime(at));
+            finishAttempt(callerAttempt, endpoint, entry::AttemptEnd::NotExecuted, at);
         });
         return;
     }
-    schedule(std::max(now, request.deadline), [this, flight, endpoint, &member, id, over](Ms at) {
-        if (!*over) {
-            *over = true;
+    schedule(std::max(now, request.deadline), [this, callerAttempt, endpoint, &member, id, finished](Ms at) {
+        if (!*finished) {
+            *finished = true;
             member.cancel(id);
-            ended(flight, endpoint, entry::AttemptEnd::Silent, at);
+            finishAttempt(callerAttempt, endpoint, entry::AttemptEnd::Silent, at);
         }
     });
-    // A member that crashes breaks off what it has in hand.
+    // A crash of the member breaks the connections of its requests.
     for (const auto &c : m_scenario.crashes) {
         const Ms crashAt = c.atS * 1000;
         if (c.pool == kind.pool && crashAt > now) {
-            schedule(crashAt + back, [this, flight, endpoint, &pool, memberAt, over](Ms at) {
-                if (!*over && pool.down[memberAt]) {
-                    *over = true;
-                    ended(flight, endpoint, entry::AttemptEnd::Broken, at);
+            schedule(crashAt + returnDelay, [this, callerAttempt, endpoint, &pool, memberIndex, finished](Ms at) {
+                if (!*finished && pool.down[memberIndex]) {
+                    *finished = true;
+                    finishAttempt(callerAttempt, endpoint, entry::AttemptEnd::Broken, at);
                 }
             });
         }
     }
 }
 
-// An attempt is over: what the router learns of it, and what follows.
-void Fleet::ended(const FlightPtr &flight, const Endpoint &endpoint, entry::AttemptEnd end, Ms now)
+// Ends an attempt at a member: updates the state of the router, then retries or ends the request.
+void Fleet::finishAttempt(const CallerAttemptPtr &callerAttempt, const Endpoint &endpoint, entry::AttemptEnd end, Ms now)
 {
-    Router &router = *m_routers[flight->router];
-    const auto at = timeOf(now);
-    const std::string &pool = flight->request->source->kind->pool;
+    Router &router = *m_routers[callerAttempt->router];
+    const auto at = clockTime(now);
+    const std::string &pool = callerAttempt->request->source->kind->pool;
     router.table.release(endpoint, at);
     const auto ejection = router.outliers[pool].record(endpoint.id, end != entry::AttemptEnd::Delivered, router.table.poolSize(pool), at);
     if (ejection) {
         router.table.eject(endpoint.id, ejection->until);
     }
-    flight->count.runs += entry::mayHaveRun(end) ? 1 : 0;
+    callerAttempt->count.runs += entry::mayHaveRun(end) ? 1 : 0;
     if (end == entry::AttemptEnd::Delivered) {
-        finish(flight, true, false, now);
-    } else if (entry::mayTryAgain(flight->request->source->route, end, flight->count)) {
-        attempt(flight, now);
-    } else if (flight->count.runs > 0) {
-        finish(flight, false, false, now);
+        finish(callerAttempt, true, false, now);
+    } else if (entry::mayTryAgain(callerAttempt->request->source->route, end, callerAttempt->count)) {
+        tryNextMember(callerAttempt, now);
+    } else if (callerAttempt->count.runs > 0) {
+        finish(callerAttempt, false, false, now);
     } else {
-        refuse(flight, now);
+        reject(callerAttempt, now);
     }
 }
 
-// The router gives up; a caller whose request did not run comes back when it is told to.
-void Fleet::refuse(const FlightPtr &flight, Ms now)
+// Rejects an attempt of a caller. The caller retries after the Retry-After delay if the request did not run and it
+// has an attempt left.
+void Fleet::reject(const CallerAttemptPtr &callerAttempt, Ms now)
 {
-    auto &request = *flight->request;
-    if (flight->count.runs > 0 || request.callerRetries == 0) {
-        finish(flight, false, flight->count.runs == 0, now);
+    auto &request = *callerAttempt->request;
+    if (callerAttempt->count.runs > 0 || request.callerRetries == 0) {
+        finish(callerAttempt, false, callerAttempt->count.runs == 0, now);
         return;
     }
-    const auto why = flight->count.arrivals > 0 ? entry::Rejection::NotExecuted : entry::Rejection::NoEndpoint;
-    const auto wait = entry::comeBackAfter(why, std::chrono::hours(1), m_comeBack, m_random);
-    const Ms back = std::min(static_cast<double>(wait.count()), (request.deadline - now) * longestWait);
+    const auto reason = callerAttempt->count.arrivals > 0 ? entry::Rejection::NotExecuted : entry::Rejection::NoEndpoint;
+    const auto wait = entry::comeBackAfter(reason, std::chrono::hours(1), m_retryAfterOptions, m_rng);
+    const Ms retryDelay = std::min(static_cast<double>(wait.count()), (request.deadline - now) * maxWaitShare);
     --request.callerRetries;
-    schedule(now + std::max(0.0, back) + m_scenario.callerMs, [this, sent = flight->request](Ms at) {
+    schedule(now + std::max(0.0, retryDelay) + m_scenario.callerMs, [this, sent = callerAttempt->request](Ms at) {
         send(sent, at);
     });
 }
 
-void Fleet::finish(const FlightPtr &flight, bool served, bool refused, Ms now)
+void Fleet::finish(const CallerAttemptPtr &callerAttempt, bool served, bool rejected, Ms now)
 {
-    auto &request = *flight->request;
+    auto &request = *callerAttempt->request;
     const KindModel &kind = *request.source->kind;
     auto &out = m_outcome.kinds[kind.name];
     if (request.ended) {
@@ -228,10 +230,10 @@
     }
     request.ended = true;
     if (!served) {
-        ++(refused ? out.refused : out.failed);
+        ++(rejected ? out.refused : out.failed);
         return;
     }
-    const Ms first = (flight->firstAt < 0 ? now : flight->firstAt) + m_scenario.callerMs - request.sentAt;
+    const Ms first = (callerAttempt->firstAt < 0 ? now : callerAttempt->firstAt) + m_scenario.callerMs - request.sentAt;
     const bool onTime = first <= static_cast<double>(kind.targetMs);
     ++(onTime ? out.onTime : out.late);
     const double worth = onTime ? kind.worth : kind.lateWorth;
--- a/emulators/model/outcome.cpp
+++ b/emulators/model/outcome.cpp
@@ -104,7 +104,7 @@
         pools[name] = {{"arrivals", p.arrivals},           {"over_bound", p.overBound},
                        {"worst_window", p.worstWindow},    {"worst_skew", p.worstSkew},
                        {"arrivals_by_s", p.arrivalsAt},    {"over_bound_by_s", p.overBoundAt},
-                       {"turned_away", p.turnedAway},      {"tokens_read", p.tokensRead},
+                       {"turned_away", p.rejected},        {"tokens_read", p.tokensRead},
                        {"tokens_found", p.tokensFound},    {"shared_read_again", p.sharedReadAgain},
                        {"tokens_fetched", p.tokensFetched}};
     }
--- a/emulators/model/play.cpp
+++ b/emulators/model/play.cpp
@@ -14,8 +14,8 @@
 namespace
 {
 
-// The routing of an entry router, with another policy for model engines if asked for.
-router::TableOptions tableOptions(Policy policy)
+// Returns the routing options of an entry router, with the given policy for model engines.
+router::TableOptions makeTableOptions(Policy policy)
 {
     router::TableOptions options;
     options.policy = policy;
@@ -47,7 +47,7 @@
     poptFreeContext(context);
     const auto policy = parseName(policyNames, policyName ? policyName : nameOf(policyNames, Policy::Home));
     if (file.empty() || !policy) {
-        std::fprintf(stderr, "yucca-sim play: a scenario file is needed, and a policy that --help names\n");
+        std::fprintf(stderr, "yucca-sim play: a scenario file is required, and the policy must be one of those in --help\n");
         return cli::ExitUsage;
     }
     Findings findings;
@@ -58,7 +58,7 @@
     }
     scenario.seed = seed >= 0 ? seed : scenario.seed;
     scenario.rate = rate >= 0 ? rate : scenario.rate;
-    const auto outcome = Fleet(scenario, tableOptions(*policy)).play();
+    const auto outcome = Fleet(scenario, makeTableOptions(*policy)).play();
     std::printf("%s", asJson ? (toJson(outcome).dump(2) + "\n").c_str() : table(outcome).c_str());
     return cli::ExitOk;
 }
--- a/emulators/model/play.h
+++ b/emulators/model/play.h
@@ -1,10 +1,10 @@
-// yucca-sim's play command: one day of a scenario, told as a table or JSON.
+// `yucca-sim play`: simulates a scenario and prints the results as a table or JSON.
 #pragma once
 
 namespace yucca::model
 {
 
-/// Parses the command line and plays. Returns the exit code.
+/// Parses the command line, runs the simulation and prints its results. Returns the exit code.
 int runPlay(int argc, const char **argv);
 
 } // namespace yucca::model
--- a/emulators/model/scenario.cpp
+++ b/emulators/model/scenario.cpp
@@ -13,29 +13,29 @@
 namespace
 {
 
-constexpr int64_t mostMembers = 10000;
-constexpr int64_t mostTokens = 100000000;
-constexpr double mostMs = 600000;
-constexpr double mostPerS = 100000;
-constexpr double mostSeconds = 3600;
+constexpr int64_t maxMembers = 10000;
+constexpr int64_t maxTokenCount = 100000000;
+constexpr double maxDurationMs = 600000;
+constexpr double maxRequestsPerS = 100000;
+constexpr double maxSeconds = 3600;
 
 PoolModel readPool(settings::Reader &r)
 {
     PoolModel p;
     r.read("name", p.name);
     r.read("engines", p.engines);
-    r.read("members", p.members, 1, mostMembers);
-    r.read("slots", p.slots, 1, mostMembers);
-    r.read("queue", p.queue, 0, mostMembers);
-    r.read("stepMs", p.stepMs, 0.01, mostMs);
-    r.read("stepMsPerRunning", p.stepMsPerRunning, 0, mostMs);
-    r.read("contextMsPerK", p.contextMsPerK, 0, mostMs);
-    r.read("prefillTokensPerMs", p.prefillTokensPerMs, 0.01, mostMs);
-    r.read("firstMs", p.firstMs, 0, mostMs);
-    r.read("chunkTokens", p.chunkTokens, 1, mostTokens);
-    r.read("cacheTokens", p.cacheTokens, 1, mostTokens);
-    r.read("tokensPerEvent", p.tokensPerEvent, 1, mostTokens);
-    r.read("reportLagMs", p.reportLagMs, 0, mostMs);
+    r.read("members", p.members, 1, maxMembers);
+    r.read("slots", p.slots, 1, maxMembers);
+    r.read("queue", p.queue, 0, maxMembers);
+    r.read("stepMs", p.stepMs, 0.01, maxDurationMs);
+    r.read("stepMsPerRunning", p.stepMsPerRunning, 0, maxDurationMs);
+    r.read("contextMsPerK", p.contextMsPerK, 0, maxDurationMs);
+    r.read("prefillTokensPerMs", p.prefillTokensPerMs, 0.01, maxDurationMs);
+    r.read("firstMs", p.firstMs, 0, maxDurationMs);
+    r.read("chunkTokens", p.chunkTokens, 1, maxTokenCount);
+    r.read("cacheTokens", p.cacheTokens, 1, maxTokenCount);
+    r.read("tokensPerEvent", p.tokensPerEvent, 1, maxTokenCount);
+    r.read("reportLagMs", p.reportLagMs, 0, maxDurationMs);
     r.read("slowest", p.slowest, 1, 100);
     return p;
 }
@@ -52,7 +52,7 @@
         findings.add("/kinds", "unknown kind '" + kind + "' of '" + k.name + "'");
     }
     k.kind = parsed.value_or(k.kind);
-    r.read("perS", k.perS, 0, mostPerS);
+    r.read("perS", k.perS, 0, maxRequestsPerS);
     r.read("priority", k.priority, 0, 9);
     r.read("resumable", k.resumable);
     r.read("maxAttempts", k.maxAttempts, 1, 10);
@@ -63,14 +63,14 @@
     r.read("sessions", k.sessions, 1, 10000000);
     r.read("sessionSkew", k.sessionSkew, 0, 3);
     r.read("sharedParts", k.sharedParts, 1, 10000000);
-    r.read("sharedTokens", k.sharedTokens, 1, mostTokens);
-    r.read("sessionTokens", k.sessionTokens, 1, mostTokens);
+    r.read("sharedTokens", k.sharedTokens, 1, maxTokenCount);
+    r.read("sessionTokens", k.sessionTokens, 1, maxTokenCount);
     r.read("sessionSpread", k.sessionSpread, 0, 5);
-    r.read("ownTokens", k.ownTokens, 1, mostTokens);
+    r.read("ownTokens", k.ownTokens, 1, maxTokenCount);
     r.read("ownSpread", k.ownSpread, 0, 5);
     r.read("events", k.events, 1, 100000);
     r.read("eventsSpread", k.eventsSpread, 0, 5);
-    r.read("workMs", k.workMs, 0.1, mostMs);
+    r.read("workMs", k.workMs, 0.1, maxDurationMs);
     r.read("workSpread", k.workSpread, 0, 5);
     r.read("failing", k.failing, 0, 1);
     return k;
@@ -79,8 +79,8 @@
 Surge readSurge(settings::Reader &r)
 {
     Surge s;
-    r.read("atS", s.atS, 0, mostSeconds);
-    r.read("forS", s.forS, 0, mostSeconds);
+    r.read("atS", s.atS, 0, maxSeconds);
+    r.read("forS", s.forS, 0, maxSeconds);
     r.read("kind", s.kind);
     r.read("factor", s.factor, 0, 1000);
     r.read("hotShare", s.hotShare, 0, 1);
@@ -90,15 +90,15 @@
 Crash readCrash(settings::Reader &r)
 {
     Crash c;
-    r.read("atS", c.atS, 0, mostSeconds);
-    r.read("forS", c.forS, 0, mostSeconds);
+    r.read("atS", c.atS, 0, maxSeconds);
+    r.read("forS", c.forS, 0, maxSeconds);
     r.read("pool", c.pool);
     r.read("share", c.share, 0, 1);
     return c;
 }
 
-// Names that are used must be there.
-void checkNames(const Scenario &s, Findings &findings)
+// Records references to pools and kinds that do not exist.
+void checkReferences(const Scenario &s, Findings &findings)
 {
     for (const auto &kind : s.kinds) {
         if (!s.pool(kind.pool)) {
@@ -136,16 +136,16 @@
     settings::Reader r(document, "", findings);
     r.read("name", s.name);
     r.read("seed", s.seed, 0, std::numeric_limits<int64_t>::max());
-    r.read("seconds", s.seconds, 1, mostSeconds);
+    r.read("seconds", s.seconds, 1, maxSeconds);
     r.read("rate", s.rate, 0, 1000);
-    r.read("routers", s.routers, 1, mostMembers);
+    r.read("routers", s.routers, 1, maxMembers);
     r.read("failureDomains", s.failureDomains, 1, 100);
-    r.read("crossDomainMs", s.crossDomainMs, 0, mostMs);
-    r.read("callerMs", s.callerMs, 0, mostMs);
+    r.read("crossDomainMs", s.crossDomainMs, 0, maxDurationMs);
+    r.read("callerMs", s.callerMs, 0, maxDurationMs);
     r.read("retryRatio", s.retryRatio, 0, 1);
     r.read("retrySlack", s.retrySlack, 0, 1000000);
     r.read("shareEveryMs", s.shareEveryMs, 0, 600000);
-    r.read("sharePeers", s.sharePeers, 1, mostMembers);
+    r.read("sharePeers", s.sharePeers, 1, maxMembers);
     r.read("loadFactor", s.loadFactor, 1, 100);
     r.each("pools", [&](settings::Reader &entry) {
         s.pools.push_back(readPool(entry));
@@ -160,7 +160,7 @@
         s.crashes.push_back(readCrash(entry));
     });
     r.finish();
-    checkNames(s, findings);
+    checkReferences(s, findings);
     return s;
 }
 
--- a/emulators/platform_main.cpp
+++ b/emulators/platform_main.cpp
@@ -1,4 +1,4 @@
-// yucca-platform: the stand-in for the platform's object API and VM list.
+// yucca-platform: emulates the platform's object API and VM list.
 #include "cli.h"
 #include "log.h"
 #include "platform_server.h"
@@ -8,7 +8,7 @@
 
 namespace
 {
-constexpr Millis stopGrace{3000};
+constexpr Millis stopGrace{3000}; ///< for requests in flight at a stop
 }
 
 int main(int argc, const char **argv)
@@ -32,8 +32,8 @@
     }
     log::init("yucca-platform", s->logLevel);
     platform::PlatformServer platform(*s);
-    // Waiting watches are in flight at a stop and end when they end: that is
-    // no failure of this stand-in.
+    // Watches may wait for longer than the grace time. Requests that are still in flight at the end are no failure
+    // here.
     const int rc = serve::untilSignal("yucca-platform", s->listen, stopGrace, [&](http::Exchange &ex) {
         return platform.handle(ex);
     });
--- a/emulators/platform_server.cpp
+++ b/emulators/platform_server.cpp
@@ -17,23 +17,23 @@
 namespace
 {
 
-constexpr const char *serverKind = "servers"; ///< entries that endpoints keep themselves
-constexpr Millis serverLapsesAfter{1500}; ///< three heartbeats of the stand-in endpoints
+constexpr const char *serverKind = "servers"; ///< kind of the entries that endpoints write themselves
+constexpr Millis serverExpiryTimeout{1500}; ///< three heartbeat intervals of yucca-endpoint
 
 constexpr std::string_view adminPrefix = "/admin/";
 constexpr std::string_view vmAdminPrefix = "/admin/vms/";
-constexpr Millis longestWatch{30000};
-constexpr std::size_t pageLimit = 500; ///< objects a page, as the platform has it
+constexpr Millis maxWatchTimeout{30000};
+constexpr std::size_t pageLimit = 500; ///< objects per page, as on the real platform
 
-// GCC 12 cannot keep braced lists in a coroutine's frame, so JSON bodies and
-// headers are made in plain functions.
+// GCC 12 cannot keep braced initializer lists in a coroutine frame, so JSON bodies and headers are made in plain
+// functions.
 
-http::Headers comeBack()
+http::Headers retryAfterHeader()
 {
     return {{"Retry-After", "1"}};
 }
 
-json pageOf(const store::Listing &page)
+json makePage(const store::Listing &page)
 {
     json items = json::array();
     for (const auto &o : page.items) {
@@ -42,7 +42,7 @@
     return {{"items", items}, {"has_more", page.more}, {"store_revision", page.revision}};
 }
 
-json batchOf(const store::WatchBatch &batch)
+json makeBatch(const store::WatchBatch &batch)
 {
     json events = json::array();
     for (const auto &e : batch.events) {
@@ -60,16 +60,16 @@
 
 } // namespace
 
-// All answers tell the store's epoch.
-Task<void> PlatformServer::answer(http::Exchange &ex, unsigned status, std::string body, http::Headers headers)
+// Sends a response. All responses carry the epoch of the store.
+Task<void> PlatformServer::respond(http::Exchange &ex, unsigned status, std::string body, http::Headers headers)
 {
     headers.emplace_back("Store-Era", std::to_string(m_store.epoch()));
     co_await ex.reply(status, std::move(body), std::move(headers));
 }
 
-Task<void> PlatformServer::answerError(http::Exchange &ex, Error e)
+Task<void> PlatformServer::respondError(http::Exchange &ex, Error e)
 {
-    co_await answer(ex, static_cast<unsigned>(e.code), errorBody(e));
+    co_await respond(ex, static_cast<unsigned>(e.code), errorBody(e));
 }
 
 PlatformServer::PlatformServer(const settings::PlatformSettings &settings)
@@ -84,98 +84,97 @@
 {
     const std::string path = ex.path();
     if (path.rfind(adminPrefix, 0) == 0) {
-        co_await admin(ex, path);
+        co_await handleAdmin(ex, path);
         co_return;
     }
-    removeLapsed(Clock::now());
+    removeExpiredServers(Clock::now());
     if (m_faults.outage) {
-        co_await answer(ex, 503, R"({"error":"object API unavailable"})", comeBack());
+        co_await respond(ex, 503, R"({"error":"object API unavailable"})", retryAfterHeader());
         co_return;
     }
     if (m_faults.slowMs > 0) {
         co_await sleepFor(Millis(m_faults.slowMs));
     }
     if (path == "/healthz") {
-        co_await answer(ex, 200, R"({"ok":true})");
+        co_await respond(ex, 200, R"({"ok":true})");
         co_return;
     }
     const bool write = ex.request().method() != http::bhttp::verb::get;
     if (!(write ? m_writes : m_reads).take(Clock::now())) {
         log::event(log::Event::RateLimited, std::string("op=") + (write ? "write" : "read"));
-        co_await answer(ex, 429, R"({"error":"rate limited"})", comeBack());
+        co_await respond(ex, 429, R"({"error":"rate limited"})", retryAfterHeader());
         co_return;
     }
     if (path.rfind(objectsPath, 0) == 0) {
-        co_await objects(ex, path.substr(objectsPath.size()));
+        co_await handleObjects(ex, path.substr(objectsPath.size()));
     } else {
-        co_await answer(ex, 404, R"({"error":"no such path"})");
+        co_await respond(ex, 404, R"({"error":"no such path"})");
     }
 }
 
-// Entries of servers that the copy brings back lapse unless their servers live.
+// Restores the store from the backup. Restored server entries expire unless their servers update them.
 void PlatformServer::restore()
 {
-    m_store.restore(m_copy);
-    m_serverHeardAt.clear();
+    m_store.restore(m_backup);
+    m_serverUpdatedAt.clear();
     for (const auto &entry : m_store.list(serverKind).items) {
-        m_serverHeardAt[entry.name] = Clock::now();
+        m_serverUpdatedAt[entry.name] = Clock::now();
     }
     m_changed.notifyAll();
     log::event(log::Event::FaultSet, "restored to epoch " + std::to_string(m_store.epoch()));
 }
 
-// Removes the entries of servers that have been silent for too long. Looked at
-// with each call: there are many a second. An outage is not held against them.
-void PlatformServer::removeLapsed(Clock::time_point now)
+// Removes server entries that have not been updated for too long. Called with each request, which is often enough.
+// The time of an outage does not count, because servers cannot update their entries then.
+void PlatformServer::removeExpiredServers(Clock::time_point now)
 {
     bool changed = false;
-    for (auto it = m_serverHeardAt.begin(); it != m_serverHeardAt.end();) {
+    for (auto it = m_serverUpdatedAt.begin(); it != m_serverUpdatedAt.end();) {
         it->second = m_faults.outage ? now : it->second;
-        const bool lapsed = now - it->second > serverLapsesAfter;
-        if (lapsed) {
+        const bool expired = now - it->second > serverExpiryTimeout;
+        if (expired) {
             changed = ok(m_store.remove(serverKind, it->first, std::nullopt)) || changed;
         }
-        it = lapsed ? m_serverHeardAt.erase(it) : std::next(it);
+        it = expired ? m_serverUpdatedAt.erase(it) : std::next(it);
     }
     if (changed) {
         m_changed.notifyAll();
     }
 }
 
-// The calls on a kind and on one object of it.
-Task<void> PlatformServer::objects(http::Exchange &ex, std::string rest)
+// Handles the calls on a kind and on one object of a kind.
+Task<void> PlatformServer::handleObjects(http::Exchange &ex, std::string kindAndName)
 {
-    const auto slash = rest.find('/');
-    const std::string kind = rest.substr(0, slash);
-    const std::string name = slash == std::string::npos ? "" : rest.substr(slash + 1);
+    const auto slash = kindAndName.find('/');
+    const std::string kind = kindAndName.substr(0, slash);
+    const std::string name = slash == std::string::npos ? "" : kindAndName.substr(slash + 1);
     const bool write = ex.request().method() != http::bhttp::verb::get;
     if (!write && !ex.query("watch").empty()) {
-        co_await watch(ex, kind);
+        co_await handleWatch(ex, kind);
         co_return;
     }
     if (name.empty() && !write) {
-        co_await listing(ex, kind);
+        co_await handleListing(ex, kind);
         co_return;
     }
-    auto result = apply(ex, kind, name);
+    auto result = performCall(ex, kind, name);
     if (write && ok(result)) {
         m_changed.notifyAll();
         if (m_faults.loseAnswers > 0) {
             --m_faults.loseAnswers;
-            ex.drop(); // the write took effect; its answer is lost
+            ex.drop(); // the write took effect; its response is lost
             co_return;
         }
     }
     if (!ok(result)) {
-        co_await answerError(ex, std::get<Error>(result));
+        co_await respondError(ex, std::get<Error>(result));
         co_return;
     }
-    co_await answer(ex, 200, toWire(std::get<store::Object>(result)).dump());
+    co_await respond(ex, 200, toWire(std::get<store::Object>(result)).dump());
 }
 
-// Carries out a call on one object. A revision in the body or the query
-// makes it conditional.
-Result<store::Object> PlatformServer::apply(const http::Exchange &ex, const std::string &kind, const std::string &name)
+// Performs a call on one object. A revision in the body or the query makes a write conditional.
+Result<store::Object> PlatformServer::performCall(const http::Exchange &ex, const std::string &kind, const std::string &name)
 {
     const auto method = ex.request().method();
     if (method == http::bhttp::verb::get) {
@@ -203,24 +202,24 @@
         ifVersion = object.version;
     }
     if (kind == serverKind) {
-        m_serverHeardAt[name] = Clock::now();
+        m_serverUpdatedAt[name] = Clock::now();
     }
     return m_store.put(kind, name, object.value, ifVersion);
 }
 
-// One page of a kind, those after a name.
-Task<void> PlatformServer::listing(http::Exchange &ex, std::string kind)
+// Responds with one page of the objects of a kind, starting after the name in the query.
+Task<void> PlatformServer::handleListing(http::Exchange &ex, std::string kind)
 {
     const auto page = m_store.list(kind, ex.query("after_rev"), pageLimit);
-    co_await answer(ex, 200, pageOf(page).dump());
+    co_await respond(ex, 200, makePage(page).dump());
 }
 
-// A long-polling watch: the changes of a kind after a revision.
-Task<void> PlatformServer::watch(http::Exchange &ex, std::string kind)
+// Handles a long-polling watch for the changes of a kind after a revision.
+Task<void> PlatformServer::handleWatch(http::Exchange &ex, std::string kind)
 {
     const uint64_t from = text::number<uint64_t>(ex.query("watch")).value_or(0);
     const std::vector<std::string> kinds(1, kind);
-    const auto deadline = Clock::now() + std::min(Millis(text::number<uint64_t>(ex.query("wait_ms")).value_or(1000)), longestWatch);
+    const auto deadline = Clock::now() + std::min(Millis(text::number<uint64_t>(ex.query("wait_ms")).value_or(1000)), maxWatchTimeout);
     ex.onCallerGone([this] {
         m_changed.notifyAll();
     });
@@ -234,13 +233,13 @@
     }
     auto result = m_store.since(from, kinds);
     if (!ok(result)) {
-        co_await answerError(ex, std::get<Error>(result));
+        co_await respondError(ex, std::get<Error>(result));
         co_return;
     }
-    co_await answer(ex, 200, batchOf(std::get<store::WatchBatch>(result)).dump());
+    co_await respond(ex, 200, makeBatch(std::get<store::WatchBatch>(result)).dump());
 }
 
-// Puts a change of the VM list where the fleet sees it, as late as it lags.
+// Publishes a change of the VM list after the lag of the list. Without an entry the VM is removed.
 Task<void> PlatformServer::publishVm(std::string id, std::optional<json> entry)
 {
     co_await sleepFor(Millis(m_settings.vmListLagMs));
@@ -252,14 +251,14 @@
     m_changed.notifyAll();
 }
 
-// /admin/vms/{id} (PUT an endpoint, DELETE it), /admin/faults, /admin/copy, and
-// /admin/restore: the store returns from the last copy, in the next epoch.
-Task<void> PlatformServer::admin(http::Exchange &ex, std::string path)
+// Handles /admin/vms/{id} (PUT an endpoint or DELETE it), /admin/faults, /admin/copy (takes a backup of the store) and
+// /admin/restore (restores the store from the last backup).
+Task<void> PlatformServer::handleAdmin(http::Exchange &ex, std::string path)
 {
     const auto &text = ex.request().body();
     json body = json::parse(text.empty() ? "{}" : text, nullptr, false);
     if (!body.is_object()) {
-        co_await answerError(ex, Error{400, "body is not a JSON object"});
+        co_await respondError(ex, Error{400, "body is not a JSON object"});
         co_return;
     }
     if (path == "/admin/faults") {
@@ -271,20 +270,20 @@
         }
         m_changed.notifyAll();
         log::event(log::Event::FaultSet, body.dump());
-        co_await answer(ex, 200, body.dump());
+        co_await respond(ex, 200, body.dump());
         co_return;
     }
     if (path == "/admin/copy" || path == "/admin/restore") {
         if (path == "/admin/copy") {
-            m_copy = m_store.copy();
+            m_backup = m_store.copy();
         } else {
             restore();
         }
-        co_await answer(ex, 200, "{}");
+        co_await respond(ex, 200, "{}");
         co_return;
     }
     if (path.rfind(vmAdminPrefix, 0) != 0) {
-        co_await answerError(ex, Error{404, "no such admin path"});
+        co_await respondError(ex, Error{404, "no such admin path"});
         co_return;
     }
     const std::string id = path.substr(vmAdminPrefix.size());
@@ -296,7 +295,7 @@
     const std::string published = entry ? entry->dump() : "{}";
     const auto executor = co_await asio::this_coro::executor;
     asio::co_spawn(executor, publishVm(id, std::move(entry)), asio::detached);
-    co_await answer(ex, 200, published);
+    co_await respond(ex, 200, published);
 }
 
 } // namespace yucca::platform
--- a/emulators/platform_server.h
+++ b/emulators/platform_server.h
@@ -1,5 +1,4 @@
-// The platform stand-in: object API and VM list, with rate limits and
-// injected faults; state in memory only.
+// Emulates the platform: object API and VM list, with rate limits and injected faults. The state is in memory only.
 #pragma once
 
 #include "admission.h"
@@ -16,41 +15,41 @@
 namespace yucca::platform
 {
 
-/// Faults switched on through POST /admin/faults.
+/// Faults, set by POST /admin/faults with a JSON object of these names.
 struct Faults {
-    bool outage = false;
-    int64_t slowMs = 0; ///< every answer takes this much longer
-    int64_t loseAnswers = 0; ///< the next N writes take effect and get no answer
-    bool compact = false; ///< forget the history now: watches from before are Gone
+    bool outage = false; ///< object API calls fail with status 503, and waiting watches are cut off
+    int64_t slowMs = 0; ///< additional delay of every object API response, in milliseconds
+    int64_t loseAnswers = 0; ///< the next N writes take effect and get no response
+    bool compact = false; ///< drops the history at once: watches from earlier revisions fail with Gone
 };
 
-/// The platform stand-in's state and its HTTP handlers. One event loop.
+/// The state and the request handlers of the emulated platform. Used from one event loop.
 class PlatformServer
 {
 public:
     explicit PlatformServer(const settings::PlatformSettings &settings);
-    /// Answers one request.
+    /// Responds to one request.
     Task<void> handle(http::Exchange &ex);
 
 private:
-    Task<void> answer(http::Exchange &ex, unsigned status, std::string body, http::Headers headers = {});
-    Task<void> answerError(http::Exchange &ex, Error e);
+    Task<void> respond(http::Exchange &ex, unsigned status, std::string body, http::Headers headers = {});
+    Task<void> respondError(http::Exchange &ex, Error e);
     void restore();
-    Task<void> objects(http::Exchange &ex, std::string rest);
-    Task<void> listing(http::Exchange &ex, std::string kind);
-    Task<void> watch(http::Exchange &ex, std::string kind);
-    Task<void> admin(http::Exchange &ex, std::string path);
+    Task<void> handleObjects(http::Exchange &ex, std::string kindAndName);
+    Task<void> handleListing(http::Exchange &ex, std::string kind);
+    Task<void> handleWatch(http::Exchange &ex, std::string kind);
+    Task<void> handleAdmin(http::Exchange &ex, std::string path);
     Task<void> publishVm(std::string id, std::optional<nlohmann::json> entry);
-    void removeLapsed(Clock::time_point now);
-    Result<store::Object> apply(const http::Exchange &ex, const std::string &kind, const std::string &name);
+    void removeExpiredServers(Clock::time_point now);
+    Result<store::Object> performCall(const http::Exchange &ex, const std::string &kind, const std::string &name);
 
     settings::PlatformSettings m_settings;
     store::ObjectStore m_store;
-    store::ObjectStore::Copy m_copy; ///< the last one that was taken
+    store::ObjectStore::Copy m_backup; ///< the last backup; empty before the first
     limits::TokenBucket m_writes;
     limits::TokenBucket m_reads;
     Faults m_faults;
-    std::map<std::string, Clock::time_point> m_serverHeardAt; ///< by name, of the entries that servers keep themselves
+    std::map<std::string, Clock::time_point> m_serverUpdatedAt; ///< last update of server entries, by name
     Notifier m_changed;
 };
 
--- a/emulators/serve.cpp
+++ b/emulators/serve.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Waits for the stop signal, then for the server to be idle.
+// Waits for the stop signal, then for the requests in flight. Returns false if some remain after the grace time.
 Task<bool> stopGracefully(http::Server &server, Millis grace)
 {
     co_await cli::stopSignal();
--- a/emulators/sim_main.cpp
+++ b/emulators/sim_main.cpp
@@ -1,6 +1,5 @@
-// yucca-sim: the model of a fleet. Its bench plays returning conversations
-// through every placement policy and prints a signature of the decisions;
-// play plays a day of a whole deployment.
+// yucca-sim: the fleet simulator. "bench" runs all placement policies on the same conversations and prints a
+// signature of their decisions; "play" simulates a scenario of a whole deployment.
 #include "bench.h"
 #include "model/play.h"
 
--- a/tests/test_engine.cpp
+++ b/tests/test_engine.cpp
@@ -1,13 +1,13 @@
-// The engine stand-in's decisions: prefix cache, lagged load, fencing.
+// The logic of the emulated engine: prefix cache, decode slots, delayed load reports, fencing and the execution log.
 #include "engine_core.h"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace yucca;
 
-TEST_GROUP(EngineStandIn){};
+TEST_GROUP(EngineEmulator){};
 
-TEST(EngineStandIn, PrefixCacheMatchesLeadingBlocksAndEvictsLeastRecentlyUsed)
+TEST(EngineEmulator, PrefixCacheMatchesLeadingBlocksAndEvictsLeastRecentlyUsed)
 {
     engine::PrefixCache cache(3);
     cache.insert({1, 2, 3});
@@ -18,7 +18,7 @@
     LONGS_EQUAL(3, cache.size());
 }
 
-TEST(EngineStandIn, LoadIsReportedAsItWasALagAgo)
+TEST(EngineEmulator, ReportedLoadIsTheLoadOfOneLagAgo)
 {
     engine::LoadHistory h(std::chrono::milliseconds(300));
     auto t0 = Clock::time_point{} + std::chrono::hours(1);
@@ -30,7 +30,7 @@
     LONGS_EQUAL(9, h.reported(t0 + std::chrono::milliseconds(700)));
 }
 
-TEST(EngineStandIn, SlotsAreCountedAndFreed)
+TEST(EngineEmulator, BusySlotsAreCountedUntilReleased)
 {
     engine::SlotPool slots(2, 4);
     CHECK(runBlocking(slots.acquire(0, Clock::time_point::max())));
@@ -40,26 +40,27 @@
     LONGS_EQUAL(1, slots.busy());
 }
 
-TEST(EngineStandIn, AnswersAreDeterministicPerPrompt)
+TEST(EngineEmulator, SameSeedGivesSameAnswerTokens)
 {
     CHECK(engine::answerTokens(7, 5) == engine::answerTokens(7, 5));
     CHECK(engine::answerTokens(7, 5) != engine::answerTokens(8, 5));
 }
 
-TEST_GROUP(FencingAtTheEngine){};
+TEST_GROUP(EngineFencing){};
 
-TEST(FencingAtTheEngine, ACheckingEngineRefusesTheOrderOfALapsedHolder)
+TEST(EngineFencing, CheckingEngineRejectsOrderWithOlderFencingToken)
 {
-    // Holder A held the lease at fence 4, paused, its lease lapsed, and B
-    // took it at fence 5. A wakes and sends its stale order.
+    // A holds the lease with fencing token 4 and is paused; the lease expires and B acquires it with token 5. A then
+    // resumes and sends its stale order.
     engine::FencingGate gate(true);
     CHECK(ok(gate.admit({"load_model", "counsel-v2", 5, "B"})));
     CHECK_FALSE(ok(gate.admit({"load_model", "counsel-v1", 4, "A"})));
     LONGS_EQUAL(1, gate.applied().size());
 }
 
-TEST(FencingAtTheEngine, AnIgnoringEngineAppliesBothWhichIsWhyOrdersMustBeIdempotentThere)
+TEST(EngineFencing, NonCheckingEngineAppliesOrderWithOlderFencingToken)
 {
+    // This is why orders to engines that do not check the token must be idempotent.
     engine::FencingGate gate(false);
     CHECK(ok(gate.admit({"load_model", "counsel-v2", 5, "B"})));
     CHECK(ok(gate.admit({"load_model", "counsel-v1", 4, "A"})));
@@ -68,7 +69,7 @@
 
 TEST_GROUP(PlainService){};
 
-TEST(PlainService, TheExecutionLogCountsRepeats)
+TEST(PlainService, KeyExecutedTwiceIsListedAsDuplicate)
 {
     engine::ExecutionLog log;
     log.execute("book", "k1");
@@ -79,10 +80,10 @@
     STRCMP_EQUAL("k1", log.duplicates()[0].c_str());
 }
 
-TEST(EngineStandIn, APrefixCacheMovesButIsNeverCopied)
+TEST(EngineEmulator, PrefixCacheIsMovableButNotCopyable)
 {
-    // Its index holds iterators into its own list: a copy would point into
-    // the original (the bench crashed on exactly that).
+    // The index of a cache holds iterators into its list. Those of a copy would point into the original, which
+    // crashed the benchmark.
     static_assert(!std::is_copy_constructible_v<engine::PrefixCache>);
     engine::PrefixCache a(4);
     a.insert({1, 2});
--- a/tests/test_model.cpp
+++ b/tests/test_model.cpp
@@ -1,10 +1,10 @@
-// The model of a deployment, and what callers get of its days: each test
-// plays the load that a decision answers.
+// The simulation of a deployment and its results for callers. Each test runs the load that a design decision is meant
+// for.
 #include "model/fleet.h"
 #include "settings.h"
 
 #include <CppUTest/TestHarness.h>
-// The plugin's header needs TestHarness.h first; the blank line keeps the order.
+// MemoryLeakWarningPlugin.h must be included after TestHarness.h; the blank line keeps clang-format from sorting them.
 
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
@@ -13,7 +13,7 @@
 namespace
 {
 
-model::Scenario scenarioOf(const std::string &file)
+model::Scenario loadScenario(const std::string &file)
 {
     Findings findings;
     auto scenario = model::parseScenario(settings::loadFile("config/scenarios/" + file + ".json", findings), findings);
@@ -29,7 +29,7 @@
     return model::Fleet(scenario, options).play();
 }
 
-double reuseOf(const model::PoolOutcome &pool)
+double cacheReuse(const model::PoolOutcome &pool)
 {
     return static_cast<double>(pool.tokensFound) / static_cast<double>(pool.tokensFound + pool.tokensRead);
 }
@@ -38,7 +38,7 @@
 
 TEST_GROUP(ModelScenario){};
 
-TEST(ModelScenario, EveryProblemIsReportedWithItsPlace)
+TEST(ModelScenario, InvalidScenarioReportsEveryProblemWithItsPlace)
 {
     Findings findings;
     const auto document = settings::parseText(
@@ -54,14 +54,15 @@
     }
 }
 
-TEST(ModelScenario, TheSamplesAreAsTheyShouldBe)
+TEST(ModelScenario, SampleScenariosParseWithoutProblems)
 {
     for (const char *file : {"lonestar", "association", "association-grown", "lonestar-surge"}) {
-        CHECK(!scenarioOf(file).kinds.empty());
+        CHECK(!loadScenario(file).kinds.empty());
     }
 }
 
-// Millions of events: CppUTest's leak count would take most of the time.
+// The simulations allocate for millions of events: with the leak detection of CppUTest they would take most of their
+// time in it.
 TEST_GROUP(Model){void setup() override{MemoryLeakWarningPlugin::saveAndDisableNewDeleteOverloads();
 }
 void teardown() override
@@ -71,74 +72,73 @@
 }
 ;
 
-TEST(Model, TheSameSeedPlaysTheSameDay)
+TEST(Model, SameSeedGivesSameOutcomeAndOtherSeedAnother)
 {
-    auto scenario = scenarioOf("lonestar-surge");
+    auto scenario = loadScenario("lonestar-surge");
     const auto first = model::toJson(play(scenario));
     CHECK(first == model::toJson(play(scenario)));
     scenario.seed += 1;
     CHECK(first != model::toJson(play(scenario)));
 }
 
-TEST(Model, EveryRequestEndsOnce)
+TEST(Model, EveryOfferedRequestHasOneResult)
 {
     for (const char *file : {"lonestar", "lonestar-surge", "association"}) {
-        for (const auto &[name, k] : play(scenarioOf(file)).kinds) {
+        for (const auto &[name, k] : play(loadScenario(file)).kinds) {
             LONGS_EQUAL(k.offered, k.onTime + k.late + k.failed + k.refused);
         }
     }
 }
 
-TEST(Model, OnAUsualDayNearlyEveryCallerIsServedInTime)
+TEST(Model, UsualLoadIsServedInTime)
 {
     for (const char *file : {"lonestar", "association"}) {
-        const auto day = play(scenarioOf(file));
-        CHECK(day.credit() > 0.98); // 0.997 and 0.995 over three seeds
-        for (const auto &[name, k] : day.kinds) {
-            CHECK_TEXT(k.served() > 0.97, name.c_str()); // reminders: a part fails at two endpoints
+        const auto outcome = play(loadScenario(file));
+        CHECK(outcome.credit() > 0.98);
+        for (const auto &[name, k] : outcome.kinds) {
+            CHECK_TEXT(k.served() > 0.97, name.c_str()); // two endpoints fail a share of the reminders
         }
     }
 }
 
-TEST(Model, AHomeForEachPromptFindsWhatWasReadBefore)
+TEST(Model, HomePolicyReusesMoreOfTheCacheThanRoundRobin)
 {
-    const auto scenario = scenarioOf("lonestar");
+    const auto scenario = loadScenario("lonestar");
     const auto home = play(scenario).pools.at("model");
-    const auto inTurn = play(scenario, Policy::RoundRobin).pools.at("model");
-    CHECK(reuseOf(home) > reuseOf(inTurn) + 0.1);
-    CHECK(home.sharedReadAgain * 3 < inTurn.sharedReadAgain);
+    const auto roundRobin = play(scenario, Policy::RoundRobin).pools.at("model");
+    CHECK(cacheReuse(home) > cacheReuse(roundRobin) + 0.1);
+    CHECK(home.sharedReadAgain * 3 < roundRobin.sharedReadAgain);
 }
 
-TEST(Model, ManyRoutersWithSliversKeepTheBoundOnlyBecauseTheyTellEachOtherLoads)
+TEST(Model, ManyRoutersKeepTheLoadBoundOnlyIfTheyShareLoads)
 {
-    // 84 routers before 90 engines: each hears of an engine every 13 s. The
-    // users' bound allows 3 of 100 requests in five seconds at an engine over
-    // twice the mean plus three; the model is the stricter one, with 8.8 of 100
-    // where their own play counts 3.3.
-    auto scenario = scenarioOf("association-grown");
-    const double together = play(scenario).pools.at("model").worstWindow;
+    // With 84 routers and 90 engines, each router receives a report of an engine only every 13 s, so the load bound
+    // depends on routers sharing loads. Requirement: in any five seconds, at most 3 of 100 requests arrive at an
+    // engine whose load is over twice the mean plus three. The simulation counts more strictly than the users' own.
+    auto scenario = loadScenario("association-grown");
+    const double withSharing = play(scenario).pools.at("model").worstWindow;
     scenario.shareEveryMs = 0;
-    const double alone = play(scenario).pools.at("model").worstWindow;
-    CHECK(together < 0.04); // 0.022 over three seeds
-    CHECK(alone > 2 * together);
+    const double withoutSharing = play(scenario).pools.at("model").worstWindow;
+    CHECK(withSharing < 0.04);
+    CHECK(withoutSharing > 2 * withSharing);
 }
 
-TEST(Model, SurgesOfTheSheetsAreBorneByTheEndpointsOwnQueues)
+TEST(Model, RequiredSurgesAreAbsorbedByEndpointQueues)
 {
-    // The sheets' worst: everything 1.7 times, a workspace 7.5 times its usual.
-    // Bookings first have anybody refused at 12 times their usual.
-    auto scenario = scenarioOf("lonestar");
+    // The largest surges of the requirements: all requests at 1.7 times, one workspace at 7.5 times its usual rate.
+    // Requests are first rejected when bookings reach 12 times their usual rate.
+    auto scenario = loadScenario("lonestar");
     scenario.surges = {{10, 5, "appt-book", 8, 0}, {20, 5, "", 1.7, 0}};
-    const auto day = play(scenario);
-    for (const auto &[name, k] : day.kinds) {
+    const auto outcome = play(scenario);
+    for (const auto &[name, k] : outcome.kinds) {
         LONGS_EQUAL_TEXT(0, k.refused, name.c_str());
     }
-    CHECK(day.worstWindows() > 0.9); // 0.97
+    CHECK(outcome.worstWindows() > 0.9);
 }
 
-TEST(Model, ASurgeAndACrashLeaveMostCallersServed)
+TEST(Model, SurgeAndCrashLeaveMostRequestsServed)
 {
-    const auto day = play(scenarioOf("lonestar-surge"));
-    CHECK(day.credit() > 0.97); // 0.990 over three seeds
-    CHECK(day.worstWindows() > 0.85); // 0.943
+    const auto outcome = play(loadScenario("lonestar-surge"));
+    CHECK(outcome.credit() > 0.97);
+    CHECK(outcome.worstWindows() > 0.85);
 }
--- a/tests/test_objstore.cpp
+++ b/tests/test_objstore.cpp
@@ -1,4 +1,4 @@
-// The object store stand-in: versions, conditional writes, watches.
+// The in-memory object store: versions, conditional writes and watches.
 #include "memory_store.h"
 
 #include <CppUTest/TestHarness.h>
@@ -7,7 +7,7 @@
 
 TEST_GROUP(ObjectStore){};
 
-TEST(ObjectStore, CreateOnlyRefusesAnExistingObject)
+TEST(ObjectStore, CreateOnlyPutOfExistingObjectConflicts)
 {
     store::ObjectStore s;
     CHECK(ok(s.put("k", "a", 1, 0)));
@@ -16,7 +16,7 @@
     LONGS_EQUAL(store::Conflict, std::get<Error>(again).code);
 }
 
-TEST(ObjectStore, ConditionalUpdateNeedsTheCurrentVersion)
+TEST(ObjectStore, ConditionalPutWithOldVersionConflicts)
 {
     store::ObjectStore s;
     auto v1 = std::get<store::Object>(s.put("k", "a", 1, 0)).version;
@@ -26,7 +26,7 @@
     LONGS_EQUAL(2, std::get<store::Object>(s.get("k", "a")).value.get<int>());
 }
 
-TEST(ObjectStore, AWatchFromAnOldRevisionSeesEveryLaterChange)
+TEST(ObjectStore, WatchFromOldRevisionReturnsEveryLaterChange)
 {
     store::ObjectStore s;
     s.put("k", "a", 1, std::nullopt);
@@ -38,7 +38,7 @@
     CHECK(b.events[1].deleted);
 }
 
-TEST(ObjectStore, AWatchPastTheKeptHistoryIsGone)
+TEST(ObjectStore, WatchFromBeforeTheKeptHistoryIsGone)
 {
     store::ObjectStore s(2);
     for (int i = 0; i < 5; ++i) {
@@ -49,7 +49,7 @@
     LONGS_EQUAL(store::Gone, std::get<Error>(r).code);
 }
 
-TEST(ObjectStore, AWatchOfSomeKindsSkipsTheOthersButMovesPastThem)
+TEST(ObjectStore, WatchOfOneKindSkipsOthersAndAdvancesPastThem)
 {
     store::ObjectStore s;
     s.put("idem", "r1", 1, std::nullopt);
