--- a/emulators/soak/callers.cpp
+++ b/emulators/soak/callers.cpp
@@ -1,4 +1,4 @@
-// The callers of a soak, and what must hold once all is calm.
+// The callers of a soak test, and the check of normal service after the last fault.
 #include "soak/fleet.h"
 #include "soak/layout.h"
 
@@ -8,9 +8,9 @@
 namespace
 {
 
-constexpr Millis callerPause{15}; ///< between a caller's requests
-constexpr int calmRequests = 40;
-constexpr double leastServedWhenCalm = 0.95; ///< an endpoint's last heartbeat may still be missing
+constexpr Millis callerRequestDelay{15}; ///< between one caller's requests
+constexpr int probesPerRouter = 40;
+constexpr double minServedFraction = 0.95; ///< below 1, as an endpoint's latest heartbeat may not have arrived yet
 
 std::string pathOf(Kind kind)
 {
@@ -31,28 +31,28 @@
 
 http::Headers callerHeaders(const std::string &id, const std::string &key)
 {
-    return {{"Host", "h.example"}, {"Yuccasaddle-Attempt-Id", id}, {"X-Api-Key", key}, {"Yuccasaddle-Deadline-Ms", std::to_string(callerPatience.count())}};
+    return {{"Host", "h.example"}, {"Yuccasaddle-Attempt-Id", id}, {"X-Api-Key", key}, {"Yuccasaddle-Deadline-Ms", std::to_string(callerTimeout.count())}};
 }
 
-// One caller: one request after the other, at the routers in turn.
-Task<void> SoakFleet::callLoop(int caller)
+// Runs one caller: it sends one request after the other and alternates between the routers.
+Task<void> SoakFleet::runCaller(int caller)
 {
-    ++m_callersUnderWay;
-    while (!m_ending) {
-        const int n = m_requests;
+    ++m_activeCallers;
+    while (!m_stopping) {
+        const int n = m_requestCount;
         const auto kind = kindNames[static_cast<std::size_t>(n) % kindNames.size()].first;
         const auto router = static_cast<std::size_t>(n / 4 + caller) % m_routers.size();
         const std::string id = requestId("q" + std::to_string(m_options.plan.seed), router);
-        co_await request(id, kind, router, keyOf(m_acceptedVersion));
-        co_await sleepFor(callerPause);
+        co_await sendRequest(id, kind, router, apiKeyFor(m_acceptedVersion));
+        co_await sleepFor(callerRequestDelay);
     }
-    --m_callersUnderWay;
+    --m_activeCallers;
 }
 
-Task<void> SoakFleet::request(std::string id, Kind kind, std::size_t router, std::string key)
+Task<void> SoakFleet::sendRequest(std::string id, Kind kind, std::size_t router, std::string key)
 {
     http::CallOptions options;
-    options.deadline = Clock::now() + callerPatience;
+    options.deadline = Clock::now() + callerTimeout;
     options.reuse = http::Reuse::Kept;
     const http::Address to{"127.0.0.1", routerPort(router, 4)};
     const std::string sender = senderName(router);
@@ -60,28 +60,28 @@
     const std::string method = kind == Kind::Reminder ? "GET" : "POST";
     auto headers = callerHeaders(id, key);
     auto opened = co_await m_client.open(to, http::makeRequest(method, pathOf(kind), kind == Kind::Reminder ? "" : "{}", headers), options);
-    Record record;
+    RequestRecord record;
     record.kind = kind;
     if (auto *response = std::get_if<std::unique_ptr<http::Response>>(&opened)) {
         record.status = (*response)->status();
-        noteLeavingWord(sender, **response, sentAt);
-        record.authentic = !(*response)->header("Yuccasaddle-Response-Signature").empty();
+        checkLeavingAnnouncement(sender, **response, sentAt);
+        record.hasSignature = !(*response)->header("Yuccasaddle-Response-Signature").empty();
         for (bool more = true; more;) {
             auto read = co_await(*response)->read();
             const auto *bytes = std::get_if<std::string>(&read);
             more = bytes && !bytes->empty();
-            record.whole = bytes && bytes->empty();
+            record.complete = bytes && bytes->empty();
             record.body += bytes ? *bytes : "";
         }
     }
-    m_promises.note(id, std::move(record));
+    m_invariants.recordResponse(id, std::move(record));
 }
 
-// A reminder past the proxies; 0 without an answer.
-Task<unsigned> SoakFleet::ask(std::size_t router, std::string key)
+// Sends a reminder directly to a router, not through its proxy. Returns the status, 0 without a response.
+Task<unsigned> SoakFleet::probe(std::size_t router, std::string key)
 {
     http::CallOptions options;
-    options.deadline = Clock::now() + callerPatience;
+    options.deadline = Clock::now() + callerTimeout;
     const http::Address to{"127.0.0.1", routerPort(router, 0)};
     const std::string id = requestId("calm", router);
     auto headers = callerHeaders(id, key);
@@ -90,23 +90,23 @@
     co_return reply ? reply->status : 0;
 }
 
-// After the faults: the last accepted configuration is in force at every
-// router, none older, and requests are served.
-Task<void> SoakFleet::checkCalm()
+// Checks after the last fault that every router applies the last accepted configuration, accepts no key of the
+// version before it, and serves requests.
+Task<void> SoakFleet::checkServiceAfterFaults()
 {
     for (std::size_t n = 0; n < m_routers.size(); ++n) {
-        const std::string who = "router " + std::to_string(n);
-        const auto old = co_await ask(n, keyOf(m_acceptedVersion - 1));
-        if (old != 401) {
-            m_broken.push_back(who + " answers a key that was taken away with " + std::to_string(old));
+        const std::string name = "router " + std::to_string(n);
+        const auto revokedKeyStatus = co_await probe(n, apiKeyFor(m_acceptedVersion - 1));
+        if (revokedKeyStatus != 401) {
+            m_violations.push_back(name + " answers a revoked key with status " + std::to_string(revokedKeyStatus));
         }
         int served = 0;
-        for (int i = 0; i < calmRequests; ++i) {
-            const auto status = co_await ask(n, keyOf(m_acceptedVersion));
+        for (int i = 0; i < probesPerRouter; ++i) {
+            const auto status = co_await probe(n, apiKeyFor(m_acceptedVersion));
             served += status == 200 ? 1 : 0;
         }
-        if (served < leastServedWhenCalm * calmRequests) {
-            m_broken.push_back(who + " serves " + std::to_string(served) + " of " + std::to_string(calmRequests) + " requests when all is calm");
+        if (served < minServedFraction * probesPerRouter) {
+            m_violations.push_back(name + " serves " + std::to_string(served) + " of " + std::to_string(probesPerRouter) + " requests after the last fault");
         }
     }
 }
--- a/emulators/soak/child.cpp
+++ b/emulators/soak/child.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-int codeOf(int status)
+int exitCodeOf(int status)
 {
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
@@ -29,19 +29,19 @@
 Result<pid_t> Child::start()
 {
     std::vector<char *> argv;
-    for (auto &word : m_command) {
-        argv.push_back(word.data());
+    for (auto &argument : m_command) {
+        argv.push_back(argument.data());
     }
     argv.push_back(nullptr);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, m_outputFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-    const int failed = posix_spawn(&m_pid, argv[0], &actions, nullptr, argv.data(), environ);
+    const int error = posix_spawn(&m_pid, argv[0], &actions, nullptr, argv.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
-    if (failed) {
+    if (error) {
         m_pid = -1;
-        return Error{500, m_command[0] + ": " + std::strerror(failed)};
+        return Error{500, m_command[0] + ": " + std::strerror(error)};
     }
     return m_pid;
 }
@@ -62,14 +62,14 @@
     }
 }
 
-std::optional<int> Child::ended()
+std::optional<int> Child::pollExit()
 {
     int status = 0;
     if (m_pid <= 0 || ::waitpid(m_pid, &status, WNOHANG) != m_pid) {
         return std::nullopt;
     }
     m_pid = -1;
-    return codeOf(status);
+    return exitCodeOf(status);
 }
 
 } // namespace yucca::soak
--- a/emulators/soak/child.h
+++ b/emulators/soak/child.h
@@ -1,5 +1,4 @@
-// A program under test as a child process: started, signalled and reaped by
-// its own id.
+// Starts, signals and reaps a program under test as a child process, by its process id.
 #pragma once
 
 #include "yucca/types.h"
@@ -13,7 +12,7 @@
 namespace yucca::soak
 {
 
-/// One child process. Its output is appended to a file.
+/// One child process. Its standard output and standard error are appended to a file.
 class Child
 {
 public:
@@ -22,19 +21,21 @@
         , m_outputFile(std::move(outputFile))
     {
     }
-    /// Kills and reaps a child that still runs.
+    /// Kills and reaps the process if it still runs.
     ~Child();
     Child(const Child &) = delete;
     Child &operator=(const Child &) = delete;
 
-    /// Starts it; an Error (500) when that is impossible.
+    /// Starts the process and returns its id, or an Error with status 500 when it cannot be started.
     Result<pid_t> start();
+    /// Sends a signal; does nothing when no process runs.
     void signal(int number) const;
-    /// Kills and reaps it.
+    /// Sends SIGKILL and reaps the process; does nothing when no process runs.
     void kill();
-    /// The exit code, or the negated signal, of a child that has ended since it was started.
-    std::optional<int> ended();
-    bool started() const
+    /// Reaps the process if it has ended and returns its exit code, or the negated number of the signal that ended it.
+    /// Returns nothing while the process runs and after its end was reported.
+    std::optional<int> pollExit();
+    bool isRunning() const
     {
         return m_pid > 0;
     }
--- a/emulators/soak/endings.cpp
+++ b/emulators/soak/endings.cpp
@@ -1,4 +1,4 @@
-// The request of a soak under which endpoints end, and what must hold of it.
+// The request of a soak test that crashes every endpoint that runs it, and the check of how many crashes routers allow.
 #include "endpoint_server.h"
 #include "soak/fleet.h"
 
@@ -10,68 +10,68 @@
 namespace
 {
 
-constexpr Millis reviveAfter{1000}; ///< an endpoint is back some seconds after its end
-/// Routers that were disturbed, or whose store was, are not held to time bounds for so long.
-constexpr Millis contact{3000};
-constexpr std::size_t endingsAllowed = 3;
-constexpr std::size_t repeatsAllowed = 3; ///< after the third ending and the time of contact
-constexpr std::size_t calmRepeats = 24;
-constexpr Millis calmPause{300}; ///< over all repeats several times what an endpoint needs to be back
+constexpr Millis restartDelay{1000}; ///< between an endpoint's crash and its restart
+/// Time bounds do not apply to routers this long after a disturbance of a router or the store.
+constexpr Millis recoveryTime{3000};
+constexpr std::size_t maxCrashes = 3; ///< after these, routers must quarantine the request
+constexpr std::size_t maxLateCrashes = 3; ///< crashes that may follow the third one by more than recoveryTime
+constexpr std::size_t crashRequestsAfterFaults = 24;
+constexpr Millis crashRequestDelayAfterFaults{300}; ///< all requests together take several times as long as an endpoint's restart
 
 } // namespace
 
-bool SoakFleet::inTouch(Clock::time_point now) const
+bool SoakFleet::isRecovered(Clock::time_point now) const
 {
-    return m_disturbances == 0 && now - m_disturbedAt >= contact;
+    return m_activeDisturbances == 0 && now - m_lastDisturbanceEnd >= recoveryTime;
 }
 
-// Endpoints that ended by themselves are started anew.
-Task<void> SoakFleet::reviveEndpoints()
+// Detects endpoints that the test did not stop but that exited, and restarts them.
+Task<void> SoakFleet::runEndpointRestarts()
 {
     while (true) {
         co_await sleepFor(pollInterval);
         for (std::size_t n = 0; n < m_endpoints.size(); ++n) {
             auto &endpoint = m_endpoints[n];
-            const auto code = endpoint.down ? std::nullopt : endpoint.process->ended();
+            const auto code = endpoint.stopped ? std::nullopt : endpoint.process->pollExit();
             if (!code) {
                 continue;
             }
             if (*code == emulators::endedUnderRequest) {
-                noteEnding();
+                recordCrash();
             } else if (*code == emulators::endedWhileCold) {
-                m_broken.push_back("endpoint " + std::to_string(n) + " got more than it bears while it was cold");
+                m_violations.push_back("endpoint " + std::to_string(n) + " received more requests than its limit while it was cold");
             } else {
-                m_broken.push_back("endpoint " + std::to_string(n) + " ended by itself with " + std::to_string(*code));
+                m_violations.push_back("endpoint " + std::to_string(n) + " exited unexpectedly with " + std::to_string(*code));
             }
-            endpoint.down = true;
-            asio::co_spawn(m_loop, revive(n), asio::detached);
+            endpoint.stopped = true;
+            asio::co_spawn(m_loop, restartEndpoint(n), asio::detached);
         }
     }
 }
 
-Task<void> SoakFleet::revive(std::size_t n)
+Task<void> SoakFleet::restartEndpoint(std::size_t n)
 {
-    co_await sleepFor(reviveAfter);
+    co_await sleepFor(restartDelay);
     startEndpoint(n);
 }
 
-void SoakFleet::noteEnding()
+void SoakFleet::recordCrash()
 {
     const auto now = Clock::now();
-    const bool late = m_endings.size() >= endingsAllowed && now - m_endings[endingsAllowed - 1] > contact;
-    m_lateEndings += late && inTouch(now) ? 1 : 0;
-    m_endings.push_back(now);
+    const bool late = m_crashes.size() >= maxCrashes && now - m_crashes[maxCrashes - 1] > recoveryTime;
+    m_lateCrashes += late && isRecovered(now) ? 1 : 0;
+    m_crashes.push_back(now);
 }
 
-// One caller's request, whatever comes of it.
-Task<void> SoakFleet::requestThatEnds(std::size_t router)
+// Sends the crashing request once and ignores its result.
+Task<void> SoakFleet::sendCrashingRequest(std::size_t router)
 {
     http::CallOptions options;
-    options.deadline = Clock::now() + callerPatience;
+    options.deadline = Clock::now() + callerTimeout;
     const http::Address to{"127.0.0.1", routerPort(router, 4)};
-    const std::string id = "ends-" + std::to_string(m_requests++);
-    auto headers = callerHeaders(id, keyOf(m_acceptedVersion));
-    co_await m_client.call(to, http::makeRequest("POST", endingPath, endingBody, headers), options);
+    const std::string id = "ends-" + std::to_string(m_requestCount++);
+    auto headers = callerHeaders(id, apiKeyFor(m_acceptedVersion));
+    co_await m_client.call(to, http::makeRequest("POST", crashingPath, crashingBody, headers), options);
 }
 
 Task<void> SoakFleet::applyToCallers(Step step)
@@ -79,30 +79,30 @@
     if (step.fault != Fault::RequestEndsEndpoints) {
         co_return;
     }
-    const auto until = Clock::now() + step.lasts;
+    const auto until = Clock::now() + step.duration;
     for (std::size_t router = step.target; Clock::now() < until; ++router) {
-        co_await requestThatEnds(router % m_routers.size());
-        co_await sleepFor(endingPause);
+        co_await sendCrashingRequest(router % m_routers.size());
+        co_await sleepFor(crashingRequestDelay);
     }
 }
 
-// Once all is calm, each router keeps the request from endpoints; where too few
-// have ended yet, it does so after as many as are allowed.
-Task<void> SoakFleet::checkEndings()
+// Checks after the last fault that every router rejects the request, or does so once as many endpoints as allowed
+// have crashed.
+Task<void> SoakFleet::checkCrashLimit()
 {
-    const auto before = m_endings.size();
-    for (std::size_t n = 0; n < std::max(calmRepeats, m_routers.size()); ++n) {
-        co_await requestThatEnds(n % m_routers.size());
-        co_await sleepFor(calmPause);
+    const auto before = m_crashes.size();
+    for (std::size_t n = 0; n < std::max(crashRequestsAfterFaults, m_routers.size()); ++n) {
+        co_await sendCrashingRequest(n % m_routers.size());
+        co_await sleepFor(crashRequestDelayAfterFaults);
     }
     co_await sleepFor(pollInterval * 2);
-    const auto allowed = endingsAllowed - std::min(endingsAllowed, before) + repeatsAllowed;
-    if (m_endings.size() - before > allowed) {
-        m_broken.push_back("after " + std::to_string(before) + " endpoints had ended under a request, " + std::to_string(m_endings.size() - before)
-                           + " more did when all was calm");
+    const auto allowed = maxCrashes - std::min(maxCrashes, before) + maxLateCrashes;
+    if (m_crashes.size() - before > allowed) {
+        m_violations.push_back("after " + std::to_string(before) + " endpoints had crashed under a request, " + std::to_string(m_crashes.size() - before)
+                               + " more did after the last fault");
     }
-    if (m_lateEndings > repeatsAllowed) {
-        m_broken.push_back(std::to_string(m_lateEndings) + " endpoints ended late under a request, of " + std::to_string(m_endings.size()));
+    if (m_lateCrashes > maxLateCrashes) {
+        m_violations.push_back(std::to_string(m_lateCrashes) + " endpoints crashed late under a request, of " + std::to_string(m_crashes.size()));
     }
 }
 
--- a/emulators/soak/faults.cpp
+++ b/emulators/soak/faults.cpp
@@ -1,4 +1,4 @@
-// What the faults of a plan do to the fleet.
+// Applies the faults of a plan to the fleet.
 #include "soak/fleet.h"
 #include "soak/layout.h"
 
@@ -10,42 +10,42 @@
 namespace
 {
 
-constexpr Millis routerGrace{4500}; ///< its settings say 4 s; then it is killed
-constexpr Millis endpointLinger{3200}; ///< it serves on for 1.5 s, and waits as long for its last answers
+constexpr Millis routerStopTimeout{4500}; ///< the settings allow 4 s; then the router is killed
+constexpr Millis endpointStopTime{3200}; ///< an endpoint accepts requests for 1.5 s more, and waits as long for its last responses
 
 } // namespace
 
 Task<void> SoakFleet::applyToRouter(Step step)
 {
     auto &router = m_routers[std::min(step.target, m_routers.size() - 1)];
-    const bool mayEnd = !router.down;
+    const bool isRunning = !router.stopped;
     switch (step.fault) {
     case Fault::RouterKilled:
-        if (mayEnd) {
-            noteEnds();
-            router.down = true;
+        if (isRunning) {
+            checkRouterExits();
+            router.stopped = true;
             router.process->kill();
-            co_await sleepFor(step.lasts);
+            co_await sleepFor(step.duration);
             startRouter(step.target);
         }
         break;
     case Fault::RouterStopped:
-        if (mayEnd) {
-            noteEnds();
-            router.down = true;
+        if (isRunning) {
+            checkRouterExits();
+            router.stopped = true;
             router.process->signal(SIGCONT);
             router.process->signal(SIGTERM);
-            co_await sleepFor(routerGrace);
+            co_await sleepFor(routerStopTimeout);
             router.process->kill();
             startRouter(step.target);
         }
         break;
     case Fault::RouterPaused:
-        ++router.life;
+        ++router.generation;
         router.process->signal(SIGSTOP);
-        co_await sleepFor(step.lasts);
+        co_await sleepFor(step.duration);
         router.process->signal(SIGCONT);
-        ++router.life;
+        ++router.generation;
         break;
     case Fault::RouterReloads:
         router.process->signal(SIGHUP);
@@ -53,15 +53,15 @@
     case Fault::RouterSettingsWrong:
         writeSettings(step.target, R"({"interface": "platform", "retryRatio": 9})");
         router.process->signal(SIGHUP);
-        co_await sleepFor(step.lasts);
-        writeSettings(step.target, settingsOf(step.target));
+        co_await sleepFor(step.duration);
+        writeSettings(step.target, settingsFor(step.target));
         router.process->signal(SIGHUP);
         break;
     case Fault::CallersDisturbed:
     case Fault::StoreDisturbed: {
-        auto &proxy = step.fault == Fault::CallersDisturbed ? *router.callers : *router.store;
-        proxy.disturb(step.how);
-        co_await sleepFor(step.lasts);
+        auto &proxy = step.fault == Fault::CallersDisturbed ? *router.callerProxy : *router.storeProxy;
+        proxy.disturb(step.disturbance);
+        co_await sleepFor(step.duration);
         proxy.disturb(Disturbance::None);
         break;
     }
@@ -77,32 +77,32 @@
     const char *faults = nullptr;
     switch (step.fault) {
     case Fault::EndpointKilled:
-        if (!endpoint.down) {
-            endpoint.down = true;
+        if (!endpoint.stopped) {
+            endpoint.stopped = true;
             endpoint.process->kill();
-            co_await sleepFor(step.lasts);
+            co_await sleepFor(step.duration);
             startEndpoint(step.target);
         }
         break;
     case Fault::EndpointLeaves:
-        if (!endpoint.down) {
-            endpoint.down = true;
+        if (!endpoint.stopped) {
+            endpoint.stopped = true;
             endpoint.process->signal(SIGTERM);
-            co_await sleepFor(endpointLinger);
+            co_await sleepFor(endpointStopTime);
             startEndpoint(step.target);
         }
         break;
     case Fault::EndpointPaused:
         endpoint.process->signal(SIGSTOP);
-        co_await sleepFor(step.lasts);
+        co_await sleepFor(step.duration);
         endpoint.process->signal(SIGCONT);
         break;
     case Fault::EndpointDisturbed: {
-        const auto from = std::chrono::system_clock::now();
-        endpoint.proxy->disturb(step.how);
-        co_await sleepFor(step.lasts);
+        const auto start = std::chrono::system_clock::now();
+        endpoint.proxy->disturb(step.disturbance);
+        co_await sleepFor(step.duration);
         endpoint.proxy->disturb(Disturbance::None);
-        m_disturbed.push_back({step.target, from, std::chrono::system_clock::now()});
+        m_disturbedPeriods.push_back({step.target, start, std::chrono::system_clock::now()});
         break;
     }
     case Fault::EndpointAsksForRest:
@@ -124,7 +124,7 @@
         break;
     }
     if (faults) {
-        co_await switchFaults(admin, faults, step.lasts);
+        co_await applyEmulatorFaults(admin, faults, step.duration);
     }
 }
 
@@ -151,16 +151,16 @@
         break;
     }
     if (faults) {
-        co_await switchFaults(port(storePort), faults, step.lasts);
+        co_await applyEmulatorFaults(port(storePortOffset), faults, step.duration);
     }
 }
 
-// Faults that a stand-in switches on itself, for a while.
-Task<void> SoakFleet::switchFaults(uint16_t to, const char *faults, Millis lasts)
+// Sets faults through an emulator's admin interface, and clears them after a duration.
+Task<void> SoakFleet::applyEmulatorFaults(uint16_t adminPort, const char *faults, Millis duration)
 {
-    co_await adminCall(to, "/admin/faults", faults);
-    co_await sleepFor(lasts);
-    co_await adminCall(to, "/admin/faults", "{}");
+    co_await adminCall(adminPort, "/admin/faults", faults);
+    co_await sleepFor(duration);
+    co_await adminCall(adminPort, "/admin/faults", "{}");
 }
 
 } // namespace yucca::soak
--- a/emulators/soak/fleet.h
+++ b/emulators/soak/fleet.h
@@ -1,5 +1,5 @@
-// The fleet of a soak: the real programs as child processes behind proxies,
-// the faults of a plan, and callers who note what they get.
+// The fleet of a soak test: the real programs run as child processes behind proxies, a plan of faults is applied to
+// them, and callers record the responses they receive.
 #pragma once
 
 #include "soak/child.h"
@@ -16,61 +16,62 @@
 namespace yucca::soak
 {
 
-/// How a soak is run.
+/// The parameters of a soak test.
 struct SoakOptions {
     PlanOptions plan;
-    std::string programs = "build"; ///< where the programs are
-    std::string directory; ///< for settings, logs and lists of runs
+    std::string programs = "build"; ///< the directory of the programs
+    std::string directory; ///< for settings, logs and run logs
     uint16_t basePort = 24000;
     int callers = 9;
 };
 
-/// What a soak found.
+/// The result of a soak test.
 struct SoakOutcome {
     std::size_t sent = 0;
     std::size_t served = 0;
     std::size_t faults = 0;
-    std::size_t endings = 0; ///< of endpoints under a request that ends them
-    std::vector<std::string> broken;
+    std::size_t crashes = 0; ///< of endpoints under the crashing request
+    std::vector<std::string> violations; ///< one message each
 };
 
-/// Runs one soak. One event loop.
+/// Runs one soak test on one event loop.
 class SoakFleet
 {
 public:
     explicit SoakFleet(SoakOptions options);
+    /// Starts the programs, applies the plan, runs all checks and returns the result. May be called once.
     SoakOutcome run();
 
 private:
-    /// A router with the proxies around it.
+    /// A router and its proxies.
     struct Router {
         std::unique_ptr<Child> process;
-        std::unique_ptr<Proxy> callers;
-        std::unique_ptr<Proxy> store;
+        std::unique_ptr<Proxy> callerProxy; ///< between the callers and the router
+        std::unique_ptr<Proxy> storeProxy; ///< between the router and the store
         std::string settingsFile;
-        bool down = false; ///< ended by the soak
-        int life = 0; ///< of its memory: another one after a start or a pause
+        bool stopped = false; ///< by the test, so that its exit is no violation
+        int generation = 0; ///< changes with each start and pause: the router may not know what an earlier one received
     };
-    /// A time in which an endpoint's answers may not have reached routers.
-    struct Disturbed {
+    /// A period in which an endpoint's responses may not have reached the routers.
+    struct DisturbedPeriod {
         std::size_t endpoint = 0;
-        std::chrono::system_clock::time_point from;
-        std::chrono::system_clock::time_point until;
+        std::chrono::system_clock::time_point start;
+        std::chrono::system_clock::time_point end;
     };
-    /// An endpoint; its name changes with each start, as that of a new instance.
+    /// An endpoint. Each start is a new instance with a new id.
     struct Endpoint {
         std::unique_ptr<Child> process;
         std::unique_ptr<Proxy> proxy;
-        int starts = 0;
-        bool down = false; ///< ended by the soak
+        int startCount = 0;
+        bool stopped = false; ///< by the test, or waiting for its restart
     };
 
-    Task<bool> soak();
-    Task<bool> startAll();
+    Task<bool> runSoak();
+    Task<bool> startFleet();
     void startRouter(std::size_t n);
     void startEndpoint(std::size_t n);
     void writeSettings(std::size_t n, const std::string &text) const;
-    std::string settingsOf(std::size_t n) const;
+    std::string settingsFor(std::size_t n) const;
     Task<bool> writeConfiguration();
     Task<bool> putConfiguration(int version);
     Task<void> changeConfiguration();
@@ -80,37 +81,37 @@
     Task<void> applyToEndpoint(Step step);
     Task<void> applyToStore(Step step);
     Task<void> applyToCallers(Step step);
-    Task<void> applyToOrders(Step step);
+    Task<void> applyEvacuation(Step step);
     Task<void> restoreStore(Step step);
-    Task<void> rewriteOrders();
+    Task<void> rewriteEvacuations();
     std::string senderName(std::size_t router) const;
     std::string requestId(const std::string &text, std::size_t router);
-    void noteLeavingWord(const std::string &sender, const http::Response &response, Clock::time_point sentAt);
-    void checkRests();
-    Task<bool> evacuate(std::size_t domain, bool ordered);
+    void checkLeavingAnnouncement(const std::string &sender, const http::Response &response, Clock::time_point sentAt);
+    void checkBackOff();
+    Task<bool> setEvacuated(std::size_t domain, bool evacuated);
     Task<void> checkEvacuation();
-    std::size_t runsIn(std::size_t domain) const;
-    Task<void> requestThatEnds(std::size_t router);
-    Task<void> reviveEndpoints();
-    Task<void> revive(std::size_t n);
-    void noteEnding();
-    Task<void> checkEndings();
-    bool inTouch(Clock::time_point now) const;
-    Task<void> switchFaults(uint16_t port, const char *faults, Millis lasts);
-    Task<void> callLoop(int caller);
-    Task<void> request(std::string id, Kind kind, std::size_t router, std::string key);
-    Task<void> checkCalm();
-    Task<void> adminCall(uint16_t port, std::string path, std::string body);
-    Task<unsigned> ask(std::size_t router, std::string key);
-    void noteEnds();
-    void readRuns();
+    std::size_t runCountInDomain(std::size_t domain) const;
+    Task<void> sendCrashingRequest(std::size_t router);
+    Task<void> runEndpointRestarts();
+    Task<void> restartEndpoint(std::size_t n);
+    void recordCrash();
+    Task<void> checkCrashLimit();
+    bool isRecovered(Clock::time_point now) const;
+    Task<void> applyEmulatorFaults(uint16_t adminPort, const char *faults, Millis duration);
+    Task<void> runCaller(int caller);
+    Task<void> sendRequest(std::string id, Kind kind, std::size_t router, std::string key);
+    Task<void> checkServiceAfterFaults();
+    Task<void> adminCall(uint16_t adminPort, std::string path, std::string body);
+    Task<unsigned> probe(std::size_t router, std::string key);
+    void checkRouterExits();
+    void readRunLogs();
     uint16_t routerPort(std::size_t n, int offset) const
     {
-        return port(routerPorts * static_cast<int>(n + 1) + offset);
+        return port(portsPerRouter * static_cast<int>(n + 1) + offset);
     }
     uint16_t endpointPort(std::size_t n, int offset) const
     {
-        return port(routerPorts * static_cast<int>(m_routers.size() + 1) + endpointPorts * static_cast<int>(n) + offset);
+        return port(portsPerRouter * static_cast<int>(m_routers.size() + 1) + portsPerEndpoint * static_cast<int>(n) + offset);
     }
     uint16_t port(int offset) const
     {
@@ -120,26 +121,27 @@
     SoakOptions m_options;
     asio::io_context m_loop{1};
     http::Client m_client;
-    Promises m_promises;
+    InvariantChecker m_invariants;
     std::unique_ptr<Child> m_store;
     std::vector<Router> m_routers;
     std::vector<Endpoint> m_endpoints;
-    std::vector<std::string> m_broken; ///< beside those of single requests
-    int m_version = 0; ///< of the configuration
-    int m_acceptedVersion = 0;
-    bool m_changing = false; ///< one change at a time, so that versions are written in their order
-    std::vector<int> m_evacuations = std::vector<int>(endpointDomains); ///< orders under way, by failure domain
-    std::map<std::pair<std::string, std::string>, Clock::time_point> m_heardLeaving; ///< when callers got the word, by sender and endpoint
-    std::vector<Disturbed> m_disturbed;
-    int m_stepsUnderWay = 0;
-    int m_callersUnderWay = 0;
-    bool m_ending = false;
-    std::size_t m_faults = 0;
-    int m_requests = 0;
-    std::vector<Clock::time_point> m_endings; ///< of endpoints under the request that ends them
-    std::size_t m_lateEndings = 0; ///< of these, while nothing excused them
-    int m_disturbances = 0; ///< of routers and the store, under way
-    Clock::time_point m_disturbedAt{}; ///< the last end of one
+    std::vector<std::string> m_violations; ///< other than those of single requests
+    int m_configurationVersion = 0; ///< the last one written
+    int m_acceptedVersion = 0; ///< the last one that the store confirmed
+    bool m_changeInProgress = false; ///< one change at a time keeps the order of versions
+    std::vector<int> m_activeEvacuations = std::vector<int>(endpointDomains); ///< count per failure domain
+    std::map<std::pair<std::string, std::string>, Clock::time_point>
+        m_leavingReceivedAt; ///< when callers first received an endpoint's leaving announcement, by sender and endpoint
+    std::vector<DisturbedPeriod> m_disturbedPeriods;
+    int m_activeSteps = 0;
+    int m_activeCallers = 0;
+    bool m_stopping = false;
+    std::size_t m_faultCount = 0;
+    int m_requestCount = 0;
+    std::vector<Clock::time_point> m_crashes; ///< of endpoints under the crashing request
+    std::size_t m_lateCrashes = 0; ///< of m_crashes, those that no disturbance excuses
+    int m_activeDisturbances = 0; ///< of routers and the store
+    Clock::time_point m_lastDisturbanceEnd{}; ///< of routers and the store
 };
 
 } // namespace yucca::soak
--- a/emulators/soak/layout.h
+++ b/emulators/soak/layout.h
@@ -1,4 +1,4 @@
-// Where the programs of a soak listen, and what its callers say.
+// The ports, names and request headers of a soak test.
 #pragma once
 
 #include "soak/plan.h"
@@ -9,41 +9,43 @@
 namespace yucca::soak
 {
 
-/// How long a call is waited for.
-inline constexpr Millis callerPatience{4000};
+/// The deadline of a caller's request.
+inline constexpr Millis callerTimeout{4000};
 inline constexpr Millis pollInterval{100};
 
-// Ports from the base on.
-inline constexpr int storePort = 0;
-inline constexpr int routerPorts = 10; ///< ten for each: traffic, readiness, metrics, peers, callers' proxy, store's proxy
-inline constexpr int endpointPorts = 2; ///< for each: itself, its proxy
+// Offsets from the base port.
+inline constexpr int storePortOffset = 0;
+inline constexpr int portsPerRouter = 10; ///< used: traffic, readiness, metrics, peers, callers' proxy, store proxy
+inline constexpr int portsPerEndpoint = 2; ///< the endpoint and its proxy
 
-/// A request under which endpoints end: its path, its body, and the pause between its repeats.
-inline constexpr const char *endingPath = "/chat/ends";
-inline constexpr const char *endingBody = "{\"ends\":true}";
-inline constexpr Millis endingPause{150};
+/// The request that crashes every endpoint that runs it: its path, its body, and the delay between repeats.
+inline constexpr const char *crashingPath = "/chat/ends";
+inline constexpr const char *crashingBody = "{\"ends\":true}";
+inline constexpr Millis crashingRequestDelay{150};
 
-/// The failure domain of an endpoint, and its name.
-inline std::size_t domainNumber(std::size_t endpoint)
+/// Returns the index of an endpoint's failure domain.
+inline std::size_t domainIndexOf(std::size_t endpoint)
 {
     return endpoint / 2 % endpointDomains;
 }
+/// Returns the name of a failure domain.
 inline std::string domainName(std::size_t domain)
 {
     return "zone-" + std::to_string(domain);
 }
-inline std::string domainOf(std::size_t endpoint)
+/// Returns the name of an endpoint's failure domain.
+inline std::string domainNameOf(std::size_t endpoint)
 {
-    return domainName(domainNumber(endpoint));
+    return domainName(domainIndexOf(endpoint));
 }
 
-/// The API key of a version of the configuration; each version takes away the one before.
-inline std::string keyOf(int version)
+/// Returns the API key of a version of the configuration. Each version revokes the key of the one before.
+inline std::string apiKeyFor(int version)
 {
     return "key-" + std::to_string(version);
 }
 
-/// The headers of a caller's request.
+/// Returns the headers of a caller's request with this attempt id and API key.
 http::Headers callerHeaders(const std::string &id, const std::string &key);
 
 } // namespace yucca::soak
--- a/emulators/soak/plan.cpp
+++ b/emulators/soak/plan.cpp
@@ -12,24 +12,24 @@
 namespace
 {
 
-constexpr int longestGapMs = 1400; ///< between the beginnings of series: several are under way at once
-constexpr int longestSeries = 4; ///< faults of a series
-constexpr int longestSeriesGapMs = 900; ///< between the beginnings of a series' faults
-constexpr int shortestMs = 200;
-constexpr int longestMs = 2500;
-/// Faults drawn for the series; those after them have draws of their own, so
-/// that seeds keep the plans under which they once failed.
-constexpr std::size_t seriesFaults = 21;
-struct OwnDraws {
+constexpr int maxSeriesIntervalMs = 1400; ///< between the starts of two series, so short that several overlap
+constexpr int maxFaultsPerSeries = 4;
+constexpr int maxFaultIntervalMs = 900; ///< between the starts of two faults of a series
+constexpr int minDurationMs = 200;
+constexpr int maxDurationMs = 2500;
+/// The first entries of faultNames, from which series are drawn. Later entries are drawn from random generators of
+/// their own, so that a seed that once failed still gives the same series.
+constexpr std::size_t seriesFaultCount = 21;
+struct IndependentFault {
     Fault fault;
-    uint64_t salt; ///< of the seed
-    int longestGapMs;
+    uint64_t salt; ///< XORed with the seed
+    int maxIntervalMs; ///< between two starts
 };
-constexpr std::array<OwnDraws, 3> ownDraws{
+constexpr std::array<IndependentFault, 3> independentFaults{
     {{Fault::DomainEvacuated, 0x65766163, 5000}, {Fault::EndpointAsksForRest, 0x72657374, 5000}, {Fault::StoreRestored, 0x72657475, 6000}}};
 
-// How many things a fault can strike.
-std::size_t targetsOf(Fault fault, const PlanOptions &options)
+// Returns the number of routers, endpoints or domains that a fault can apply to.
+std::size_t targetCountOf(Fault fault, const PlanOptions &options)
 {
     switch (fault) {
     case Fault::RouterKilled:
@@ -58,18 +58,18 @@
     }
 }
 
-void addOwnDraws(const OwnDraws &draws, const PlanOptions &options, std::vector<Step> &plan)
+void addIndependentFault(const IndependentFault &independent, const PlanOptions &options, std::vector<Step> &plan)
 {
-    boost::random::mt19937_64 random(options.seed ^ draws.salt);
-    const auto draw = [&random](int least, int most) {
-        return boost::random::uniform_int_distribution<int>(least, most)(random);
+    boost::random::mt19937_64 random(options.seed ^ independent.salt);
+    const auto draw = [&random](int min, int max) {
+        return boost::random::uniform_int_distribution<int>(min, max)(random);
     };
-    for (Millis at{draw(0, draws.longestGapMs)}; at < options.length; at += Millis(draw(0, draws.longestGapMs))) {
+    for (Millis at{draw(0, independent.maxIntervalMs)}; at < options.duration; at += Millis(draw(0, independent.maxIntervalMs))) {
         Step step;
         step.at = at;
-        step.fault = draws.fault;
-        step.target = static_cast<std::size_t>(draw(0, static_cast<int>(targetsOf(draws.fault, options)) - 1));
-        step.lasts = Millis(draw(shortestMs, longestMs));
+        step.fault = independent.fault;
+        step.target = static_cast<std::size_t>(draw(0, static_cast<int>(targetCountOf(independent.fault, options)) - 1));
+        step.duration = Millis(draw(minDurationMs, maxDurationMs));
         plan.push_back(step);
     }
 }
@@ -79,24 +79,24 @@
 std::vector<Step> makePlan(const PlanOptions &options)
 {
     boost::random::mt19937_64 random(options.seed);
-    const auto draw = [&random](int least, int most) {
-        return boost::random::uniform_int_distribution<int>(least, most)(random);
+    const auto draw = [&random](int min, int max) {
+        return boost::random::uniform_int_distribution<int>(min, max)(random);
     };
     std::vector<Step> plan;
-    for (Millis at{draw(0, longestGapMs)}; at < options.length; at += Millis(draw(0, longestGapMs))) {
+    for (Millis at{draw(0, maxSeriesIntervalMs)}; at < options.duration; at += Millis(draw(0, maxSeriesIntervalMs))) {
         Step step;
         step.at = at;
-        step.fault = faultNames[static_cast<std::size_t>(draw(0, static_cast<int>(seriesFaults) - 1))].first;
-        for (int left = draw(1, longestSeries); left > 0 && step.at < options.length; --left) {
-            step.target = static_cast<std::size_t>(draw(0, static_cast<int>(targetsOf(step.fault, options)) - 1));
-            step.how = disturbanceNames[static_cast<std::size_t>(draw(1, static_cast<int>(disturbanceNames.size()) - 1))].first;
-            step.lasts = Millis(draw(shortestMs, longestMs));
+        step.fault = faultNames[static_cast<std::size_t>(draw(0, static_cast<int>(seriesFaultCount) - 1))].first;
+        for (int remaining = draw(1, maxFaultsPerSeries); remaining > 0 && step.at < options.duration; --remaining) {
+            step.target = static_cast<std::size_t>(draw(0, static_cast<int>(targetCountOf(step.fault, options)) - 1));
+            step.disturbance = disturbanceNames[static_cast<std::size_t>(draw(1, static_cast<int>(disturbanceNames.size()) - 1))].first;
+            step.duration = Millis(draw(minDurationMs, maxDurationMs));
             plan.push_back(step);
-            step.at += Millis(draw(0, longestSeriesGapMs));
+            step.at += Millis(draw(0, maxFaultIntervalMs));
         }
     }
-    for (const auto &draws : ownDraws) {
-        addOwnDraws(draws, options, plan);
+    for (const auto &independent : independentFaults) {
+        addIndependentFault(independent, options, plan);
     }
     std::stable_sort(plan.begin(), plan.end(), [](const Step &a, const Step &b) {
         return a.at < b.at;
--- a/emulators/soak/plan.h
+++ b/emulators/soak/plan.h
@@ -1,4 +1,4 @@
-// What goes wrong when: a seeded plan of faults that come in series and overlap.
+// A seeded plan of the faults of a soak test and their times.
 #pragma once
 
 #include "soak/proxy.h"
@@ -9,19 +9,19 @@
 namespace yucca::soak
 {
 
-/// A fault, and what it strikes.
+/// A kind of fault, and what it applies to.
 enum class Fault {
     RouterKilled,
     RouterPaused,
-    RouterStopped, ///< a planned stop, then a start
+    RouterStopped, ///< a graceful stop, then a start
     RouterReloads,
-    RouterSettingsWrong, ///< its file is spoilt, reloaded, and put right
-    CallersDisturbed, ///< the connections between callers and a router
-    StoreDisturbed, ///< those between a router and the store
+    RouterSettingsWrong, ///< its file is made invalid, reloaded, and corrected
+    CallersDisturbed, ///< connections between callers and a router
+    StoreDisturbed, ///< connections between a router and the store
     EndpointKilled,
     EndpointPaused,
-    EndpointLeaves, ///< a planned stop; another one takes its place
-    EndpointDisturbed, ///< the connections of all routers to it
+    EndpointLeaves, ///< a graceful stop; another instance replaces it
+    EndpointDisturbed, ///< connections from all routers to the endpoint
     EndpointSheds,
     EndpointLosesAnswers,
     EndpointFails,
@@ -29,12 +29,12 @@
     StoreDown,
     StoreSlow,
     StoreLosesAnswers,
-    StoreForgets, ///< its history
-    ConfigurationChanges, ///< and a workspace's key with it
-    RequestEndsEndpoints, ///< one request comes again and again, and ends each endpoint that runs it
-    DomainEvacuated, ///< operators order that a failure domain's endpoints get nothing, and take that back
-    EndpointAsksForRest, ///< turns all away, and wants nothing for a while
-    StoreRestored, ///< returns from a copy of some moments ago; operators and endpoints write again what it lost
+    StoreForgets, ///< compacts its history
+    ConfigurationChanges, ///< also replaces a workspace's API key
+    RequestEndsEndpoints, ///< a repeated request crashes each endpoint that runs it
+    DomainEvacuated, ///< operators evacuate a failure domain, and end the evacuation later
+    EndpointAsksForRest, ///< rejects all requests with a back-off time
+    StoreRestored, ///< is restored from a recent backup; operators and endpoints rewrite the lost changes
 };
 
 inline constexpr NameTable<Fault, 24> faultNames{{{Fault::RouterKilled, "router_killed"},
@@ -64,27 +64,27 @@
 
 /// One fault of a plan.
 struct Step {
-    Millis at{};
+    Millis at{}; ///< start, from the start of the plan
     Fault fault = Fault::RouterKilled;
-    std::size_t target = 0; ///< which router or endpoint
-    Disturbance how = Disturbance::None;
-    Millis lasts{};
+    std::size_t target = 0; ///< index of the router, endpoint or failure domain
+    Disturbance disturbance = Disturbance::None; ///< for the faults ...Disturbed
+    Millis duration{};
     bool operator==(const Step &) const = default;
 };
 
-/// What a plan is made for.
+/// The parameters of a plan.
 struct PlanOptions {
     uint64_t seed = 1;
-    Millis length{8000};
+    Millis duration{8000}; ///< in which faults start
     std::size_t routers = 3;
     std::size_t endpoints = 4;
 };
 
-/// Failure domains of the endpoints, each with endpoints of both services.
+/// The number of failure domains of endpoints. With four endpoints or more, each domain has endpoints of both services.
 inline constexpr std::size_t endpointDomains = 2;
 
-/// The same options make the same plan. Faults come in series of their kind,
-/// which overlap; steps in the order of time.
+/// Returns the steps of a plan, ordered by time. Most faults come in series of one kind, and series overlap. The same
+/// options always give the same plan.
 std::vector<Step> makePlan(const PlanOptions &options);
 
 } // namespace yucca::soak
--- a/emulators/soak/proxy.cpp
+++ b/emulators/soak/proxy.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-constexpr Millis lateBy{150}; ///< each piece, so that a stream's pauses stay under its target
-constexpr std::size_t pieceBytes = 16384;
+constexpr Millis pieceDelay{150}; ///< of each piece; shorter than the target for a stream's event gaps
+constexpr std::size_t maxPieceBytes = 16384;
 
 asio::ip::tcp::endpoint loopback(uint16_t port)
 {
@@ -26,33 +26,33 @@
 
 } // namespace
 
-Proxy::Proxy(asio::io_context &loop, uint16_t port, uint16_t server)
+Proxy::Proxy(asio::io_context &loop, uint16_t port, uint16_t serverPort)
     : m_loop(loop)
     , m_acceptor(loop, loopback(port))
-    , m_server(server)
+    , m_serverPort(serverPort)
 {
     asio::co_spawn(loop, accept(), asio::detached);
 }
 
-void Proxy::resetBoth(Pair &pair)
+void Proxy::resetPair(Pair &pair)
 {
     pair.reset = true;
     resetSocket(pair.client);
     resetSocket(pair.server);
 }
 
-void Proxy::disturb(Disturbance how)
+void Proxy::disturb(Disturbance disturbance)
 {
-    m_how = how;
+    m_disturbance = disturbance;
     m_pairs.remove_if([](const auto &pair) {
         return pair.expired();
     });
     for (const auto &weak : m_pairs) {
         if (const auto pair = weak.lock()) {
-            pair->muteForth = pair->muteForth || how == Disturbance::MuteForth || how == Disturbance::Silence;
-            pair->muteBack = pair->muteBack || how == Disturbance::MuteBack || how == Disturbance::Silence;
-            if (how == Disturbance::Reset) {
-                resetBoth(*pair);
+            pair->dropsToServer = pair->dropsToServer || disturbance == Disturbance::MuteForth || disturbance == Disturbance::Silence;
+            pair->dropsToClient = pair->dropsToClient || disturbance == Disturbance::MuteBack || disturbance == Disturbance::Silence;
+            if (disturbance == Disturbance::Reset) {
+                resetPair(*pair);
             }
         }
     }
@@ -67,12 +67,12 @@
         if (ec) {
             co_return;
         }
-        if (m_how == Disturbance::Reset) {
+        if (m_disturbance == Disturbance::Reset) {
             resetSocket(pair->client);
             continue;
         }
-        pair->muteForth = m_how == Disturbance::MuteForth || m_how == Disturbance::Silence;
-        pair->muteBack = m_how == Disturbance::MuteBack || m_how == Disturbance::Silence;
+        pair->dropsToServer = m_disturbance == Disturbance::MuteForth || m_disturbance == Disturbance::Silence;
+        pair->dropsToClient = m_disturbance == Disturbance::MuteBack || m_disturbance == Disturbance::Silence;
         m_pairs.push_back(pair);
         asio::co_spawn(m_loop, connect(pair), asio::detached);
     }
@@ -81,49 +81,49 @@
 Task<void> Proxy::connect(PairPtr pair)
 {
     boost::system::error_code ec;
-    co_await pair->server.async_connect(loopback(m_server), asio::redirect_error(asio::use_awaitable, ec));
+    co_await pair->server.async_connect(loopback(m_serverPort), asio::redirect_error(asio::use_awaitable, ec));
     if (ec) {
-        resetBoth(*pair); // nobody listens there
+        resetPair(*pair); // the server does not listen
         co_return;
     }
     pair->client.set_option(Tcp::no_delay(true), ec);
     pair->server.set_option(Tcp::no_delay(true), ec);
-    asio::co_spawn(m_loop, pump(pair, false), asio::detached);
-    co_await pump(pair, true);
+    asio::co_spawn(m_loop, forward(pair, false), asio::detached);
+    co_await forward(pair, true);
 }
 
-// Moves bytes one way until that side ends; the end is passed on.
-Task<void> Proxy::pump(PairPtr pair, bool forth)
+// Forwards bytes in one direction until the sender closes, and then closes the receiver's direction too.
+Task<void> Proxy::forward(PairPtr pair, bool toServer)
 {
-    auto &from = forth ? pair->client : pair->server;
-    auto &to = forth ? pair->server : pair->client;
-    std::vector<char> piece(pieceBytes);
+    auto &from = toServer ? pair->client : pair->server;
+    auto &to = toServer ? pair->server : pair->client;
+    std::vector<char> piece(maxPieceBytes);
     for (;;) {
         boost::system::error_code ec;
         const auto n = co_await from.async_read_some(asio::buffer(piece), asio::redirect_error(asio::use_awaitable, ec));
-        const bool muted = forth ? pair->muteForth : pair->muteBack;
+        const bool dropped = toServer ? pair->dropsToServer : pair->dropsToClient;
         if (pair->reset) {
             co_return;
         }
-        if (ec == asio::error::eof && !muted) {
+        if (ec == asio::error::eof && !dropped) {
             to.shutdown(Tcp::socket::shutdown_send, ec);
             co_return;
         }
         if (ec) {
-            if (!muted) {
-                resetBoth(*pair);
+            if (!dropped) {
+                resetPair(*pair);
             }
             co_return;
         }
-        if (muted) {
+        if (dropped) {
             continue;
         }
-        if (m_how == Disturbance::Delay) {
-            co_await sleepFor(lateBy);
+        if (m_disturbance == Disturbance::Delay) {
+            co_await sleepFor(pieceDelay);
         }
         co_await asio::async_write(to, asio::buffer(piece.data(), n), asio::redirect_error(asio::use_awaitable, ec));
         if (ec) {
-            resetBoth(*pair);
+            resetPair(*pair);
             co_return;
         }
     }
--- a/emulators/soak/proxy.h
+++ b/emulators/soak/proxy.h
@@ -1,4 +1,4 @@
-// A TCP proxy on loopback that disturbs the connections through it.
+// A TCP proxy on loopback that can disturb the connections through it.
 #pragma once
 
 #include "http.h"
@@ -12,14 +12,14 @@
 namespace yucca::soak
 {
 
-/// What becomes of the bytes on their way.
+/// How a proxy treats connections and their bytes.
 enum class Disturbance {
     None,
-    Delay, ///< each piece is late
-    Reset, ///< open connections are reset, new ones at once
-    MuteForth, ///< bytes towards the server are swallowed
-    MuteBack, ///< bytes towards the client are swallowed
-    Silence, ///< both
+    Delay, ///< each piece is delayed
+    Reset, ///< open connections are reset, and new ones as soon as they are accepted
+    MuteForth, ///< bytes to the server are dropped
+    MuteBack, ///< bytes to the client are dropped
+    Silence, ///< bytes in both directions are dropped
 };
 
 inline constexpr NameTable<Disturbance, 6> disturbanceNames{{{Disturbance::None, "none"},
@@ -29,13 +29,16 @@
                                                              {Disturbance::MuteBack, "mute_back"},
                                                              {Disturbance::Silence, "silence"}}};
 
-/// Forwards connections from one port to another. A connection whose bytes
-/// were swallowed stays silent, as one behind a partition that outlasts it.
+/// Forwards connections from one loopback port to another. A connection that once dropped a direction's bytes drops
+/// them until it is closed, like a connection that does not survive a network partition.
 class Proxy
 {
 public:
-    Proxy(asio::io_context &loop, uint16_t port, uint16_t server);
-    void disturb(Disturbance how);
+    /// Listens on port and connects to serverPort for each connection; throws boost::system::system_error when the
+    /// port cannot be opened.
+    Proxy(asio::io_context &loop, uint16_t port, uint16_t serverPort);
+    /// Applies a disturbance to open and new connections until the next call; None ends it.
+    void disturb(Disturbance disturbance);
 
 private:
     using Tcp = asio::ip::tcp;
@@ -47,21 +50,21 @@
         }
         Tcp::socket client;
         Tcp::socket server;
-        bool muteForth = false;
-        bool muteBack = false;
+        bool dropsToServer = false;
+        bool dropsToClient = false;
         bool reset = false;
     };
     using PairPtr = std::shared_ptr<Pair>;
 
     Task<void> accept();
     Task<void> connect(PairPtr pair);
-    Task<void> pump(PairPtr pair, bool forth);
-    static void resetBoth(Pair &pair);
+    Task<void> forward(PairPtr pair, bool toServer);
+    static void resetPair(Pair &pair);
 
     asio::io_context &m_loop;
     Tcp::acceptor m_acceptor;
-    uint16_t m_server;
-    Disturbance m_how = Disturbance::None;
+    uint16_t m_serverPort;
+    Disturbance m_disturbance = Disturbance::None;
     std::list<std::weak_ptr<Pair>> m_pairs;
 };
 
--- a/emulators/soak/restore.cpp
+++ b/emulators/soak/restore.cpp
@@ -1,4 +1,4 @@
-// The store of a soak returns from an older copy of itself.
+// Restores the store of a soak test from a backup.
 #include "soak/fleet.h"
 #include "soak/layout.h"
 
@@ -8,42 +8,42 @@
 namespace
 {
 
-constexpr Millis away{300}; ///< before it returns
+constexpr Millis restoreOutage{300}; ///< before the restore
 
 } // namespace
 
-// Operators make no change while the store is away, and write again what they
-// had written; endpoints do so with their heartbeats.
+// Operators change nothing while the store is down, and then rewrite their last changes. Endpoints rewrite theirs with
+// their heartbeats.
 Task<void> SoakFleet::restoreStore(Step step)
 {
     if (step.fault != Fault::StoreRestored) {
         co_return;
     }
-    co_await adminCall(port(storePort), "/admin/copy", "{}");
-    co_await sleepFor(step.lasts);
-    while (m_changing) {
+    co_await adminCall(port(storePortOffset), "/admin/copy", "{}");
+    co_await sleepFor(step.duration);
+    while (m_changeInProgress) {
         co_await sleepFor(pollInterval);
     }
-    m_changing = true;
-    co_await adminCall(port(storePort), "/admin/faults", R"({"outage": true})");
-    co_await sleepFor(away);
-    co_await adminCall(port(storePort), "/admin/restore", "{}");
-    co_await adminCall(port(storePort), "/admin/faults", "{}");
+    m_changeInProgress = true;
+    co_await adminCall(port(storePortOffset), "/admin/faults", R"({"outage": true})");
+    co_await sleepFor(restoreOutage);
+    co_await adminCall(port(storePortOffset), "/admin/restore", "{}");
+    co_await adminCall(port(storePortOffset), "/admin/faults", "{}");
     for (bool written = false; !written;) {
         written = co_await putConfiguration(m_acceptedVersion);
         if (!written) {
             co_await sleepFor(pollInterval);
         }
     }
-    m_changing = false;
-    co_await rewriteOrders();
+    m_changeInProgress = false;
+    co_await rewriteEvacuations();
 }
 
-Task<void> SoakFleet::rewriteOrders()
+Task<void> SoakFleet::rewriteEvacuations()
 {
     for (std::size_t domain = 0; domain < endpointDomains; ++domain) {
         for (bool written = false; !written;) {
-            written = co_await evacuate(domain, m_evacuations[domain] > 0);
+            written = co_await setEvacuated(domain, m_activeEvacuations[domain] > 0);
             if (!written) {
                 co_await sleepFor(pollInterval);
             }
--- a/emulators/soak_main.cpp
+++ b/emulators/soak_main.cpp
@@ -1,5 +1,5 @@
-// yucca-soak: the real programs on one machine under a seeded series of faults
-// from outside, while the promises to callers are checked.
+// yucca-soak: runs the real programs on one machine under a seeded plan of external faults, and checks the guarantees
+// to callers.
 #include "cli.h"
 #include "soak/fleet.h"
 
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr int callersARouter = 3;
+constexpr int callersPerRouter = 3;
 
 } // namespace
 
@@ -27,37 +27,37 @@
     int endpoints = static_cast<int>(options.plan.endpoints);
     char *directory = nullptr;
     char *programs = nullptr;
-    const poptOption own[] = {
-        {"seed", 0, POPT_ARG_INT, &seed, 0, "of the plan of faults", "N"},
-        {"seconds", 0, POPT_ARG_INT, &seconds, 0, "of faults; the calm after them comes on top", "S"},
+    const poptOption soakOptions[] = {
+        {"seed", 0, POPT_ARG_INT, &seed, 0, "seed of the fault plan", "N"},
+        {"seconds", 0, POPT_ARG_INT, &seconds, 0, "duration of the fault plan; the checks afterwards take extra time", "S"},
         {"routers", 0, POPT_ARG_INT, &routers, 0, "number of routers", "N"},
-        {"endpoints", 0, POPT_ARG_INT, &endpoints, 0, "number of endpoints, half of them with streams", "N"},
-        {"port", 'p', POPT_ARG_INT, &port, 0, "the first of ten ports a router and two an endpoint", "PORT"},
-        {"directory", 0, POPT_ARG_STRING, &directory, 0, "for settings, logs and lists of runs; must be new", "DIR"},
-        {"programs", 0, POPT_ARG_STRING, &programs, 0, "where the programs are", "DIR"},
+        {"endpoints", 0, POPT_ARG_INT, &endpoints, 0, "number of endpoints, half of which serve streams", "N"},
+        {"port", 'p', POPT_ARG_INT, &port, 0, "first port; each router uses ten, each endpoint two", "PORT"},
+        {"directory", 0, POPT_ARG_STRING, &directory, 0, "for settings, logs and run logs; must not exist yet", "DIR"},
+        {"programs", 0, POPT_ARG_STRING, &programs, 0, "directory of the programs", "DIR"},
         POPT_TABLEEND,
     };
-    std::vector<std::string> rest;
-    if (auto rc = cli::parse("yucca-soak", argc, argv, own, common, rest)) {
+    std::vector<std::string> arguments;
+    if (auto rc = cli::parse("yucca-soak", argc, argv, soakOptions, common, arguments)) {
         return *rc;
     }
     if (!directory || seconds < 1 || seed < 0 || routers < 1 || endpoints < 2) {
-        std::fprintf(stderr, "yucca-soak: --directory is needed, --seconds and --routers from 1, --endpoints from 2, --seed from 0\n");
+        std::fprintf(stderr, "yucca-soak: --directory is required; --seconds and --routers must be at least 1, --endpoints at least 2, --seed at least 0\n");
         return cli::ExitUsage;
     }
     options.plan.seed = static_cast<uint64_t>(seed);
-    options.plan.length = std::chrono::seconds(seconds);
+    options.plan.duration = std::chrono::seconds(seconds);
     options.plan.routers = static_cast<std::size_t>(routers);
     options.plan.endpoints = static_cast<std::size_t>(endpoints);
-    options.callers = callersARouter * routers;
+    options.callers = callersPerRouter * routers;
     options.directory = directory;
     options.programs = programs ? programs : options.programs;
     options.basePort = static_cast<uint16_t>(port);
     const auto outcome = soak::SoakFleet(options).run();
-    for (const auto &what : outcome.broken) {
-        std::printf("broken: %s\n", what.c_str());
+    for (const auto &violation : outcome.violations) {
+        std::printf("broken: %s\n", violation.c_str());
     }
-    std::printf("seed %d: %zu faults, %zu requests, %zu served, %zu endpoints ended under a request, %zu promises broken\n", seed, outcome.faults, outcome.sent,
-                outcome.served, outcome.endings, outcome.broken.size());
-    return outcome.broken.empty() ? cli::ExitOk : cli::ExitFailure;
+    std::printf("seed %d: %zu faults, %zu requests, %zu served, %zu endpoints crashed under a request, %zu promises broken\n", seed, outcome.faults,
+                outcome.sent, outcome.served, outcome.crashes, outcome.violations.size());
+    return outcome.violations.empty() ? cli::ExitOk : cli::ExitFailure;
 }
--- a/scripts/build.sh
+++ b/scripts/build.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Configures and builds every binary into build/.
+# Configures and builds all programs in build/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cmake -S . -B build -DCMAKE_BUILD_TYPE=RelWithDebInfo >/dev/null
-# A failed build must fail here, not leave an older binary to be tested.
+# Exits when the build fails, so that tests never run programs of an earlier build.
 if ! cmake --build build -j"$(nproc)" >build/build.log 2>&1; then
     grep -E "error|Error" build/build.log | head -40
     echo "build: FAILED (build/build.log)"
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,9 +1,8 @@
 #!/usr/bin/env bash
-# The slopes of docs/CAPACITY.md: what one router's control side costs for a
-# number of endpoints and workspaces. For each size: a platform, the VM list
-# and catalogue of that size, one router; control bytes and processor time
-# over 12 steady seconds with ten catalogue changes, and resident memory.
-# Loopback only; about 20 s a size.
+# Measures the control-plane cost of one router by number of endpoints and workspaces, for docs/CAPACITY.md. For each
+# size it starts a platform with a VM list and a catalogue of that size and one router, and reports control bytes and
+# CPU time in steady state with ten catalogue changes, and resident memory. Uses loopback only; takes about 20 s per
+# size.
 #   scripts/capacity.sh [ENDPOINTS:WORKSPACES ...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -12,7 +11,7 @@
 SIZES=(${*:-20:10 200:500 2100:5500})
 WINDOW=12
 
-fill() { # endpoints workspaces
+create_objects() { # endpoints workspaces
     python3 - "$BASE" "$1" "$2" <<'PY'
 import http.client, json, sys
 base, endpoints, workspaces = map(int, sys.argv[1:4])
@@ -30,8 +29,8 @@
 PY
 }
 
-status() { curl -s "127.0.0.1:$((BASE + 10))/status" | python3 -c 'import json,sys; print(json.load(sys.stdin)["controlBytes"])'; }
-ticks() { awk '{print $14 + $15}' "/proc/$1/stat"; }
+control_bytes() { curl -s "127.0.0.1:$((BASE + 10))/status" | python3 -c 'import json,sys; print(json.load(sys.stdin)["controlBytes"])'; }
+cpu_ticks() { awk '{print $14 + $15}' "/proc/$1/stat"; }
 
 echo "| endpoints | workspaces | start: control bytes | start: CPU ms | steady control B/s | steady CPU % of a core | resident KB |"
 echo "|---|---|---|---|---|---|---|"
@@ -40,27 +39,26 @@
     echo '{"writesPerS": 1000000, "readsPerS": 1000000, "vmListLagMs": 0, "logLevel": "error"}' >"$RUN/platform.json"
     start platform $B/yucca-platform --port "$BASE" --config "$RUN/platform.json"
     wait_ready "127.0.0.1:$BASE/healthz"
-    fill "$endpoints" "$workspaces"
+    create_objects "$endpoints" "$workspaces"
     start router $B/yucca-router --port $((BASE + 10)) --platform-port "$BASE" --config config/router.json
     router=$!
     wait_ready "127.0.0.1:$((BASE + 10))/readyz"
     sleep 3
-    bytes0=$(status) ticks0=$(ticks $router)
+    bytes0=$(control_bytes) ticks0=$(cpu_ticks $router)
     for i in $(seq 1 10); do
         $B/yucca-ctl --port "$BASE" edit workspace w1 /limits/maxInflight $((100 + i)) >/dev/null
         sleep $((WINDOW / 10))
     done
-    bytes1=$(status) ticks1=$(ticks $router)
+    bytes1=$(control_bytes) ticks1=$(cpu_ticks $router)
     rss=$(awk '/VmRSS/ {print $2}' "/proc/$router/status")
     awk -v e="$endpoints" -v w="$workspaces" -v b0="$bytes0" -v t0="$ticks0" -v b1="$bytes1" -v t1="$ticks1" -v rss="$rss" -v s=10 \
         'BEGIN {printf "| %d | %d | %d | %d | %.0f | %.2f | %d |\n", e, w, b0, t0 * 10, (b1 - b0) / s, (t1 - t0) / s, rss}'
     stop_all
 done
 
-# The same for an entry router on the platform's form: one configuration
-# object of that many workspaces, one entry an endpoint, ten endpoints whose
-# entries change each second.
-fill_entry() { # endpoints workspaces
+# Measures the same for an entry router with the platform's interface: one configuration object with that many
+# workspaces, one entry per endpoint, and ten endpoints whose entries change every second.
+create_entry_objects() { # endpoints workspaces
     python3 - "$BASE" "$1" "$2" <<'PY'
 import http.client, json, sys
 base, endpoints, workspaces = map(int, sys.argv[1:4])
@@ -79,7 +77,7 @@
 print(len(json.dumps(spec)))
 PY
 }
-churn_entry() { # seconds
+update_entries() { # seconds
     python3 - "$BASE" "$1" <<'PY'
 import http.client, json, sys, time
 base, seconds = map(int, sys.argv[1:3])
@@ -98,7 +96,7 @@
     endpoints=${size%:*} workspaces=${size#*:}
     start platform $B/yucca-platform --port "$BASE" --config "$RUN/platform.json"
     wait_ready "127.0.0.1:$BASE/healthz"
-    bytes=$(fill_entry "$endpoints" "$workspaces")
+    bytes=$(create_entry_objects "$endpoints" "$workspaces")
     cat >"$RUN/entry.json" <<JSON
 {"interface": "platform", "traffic": "127.0.0.1:$((BASE + 10))", "readiness": "127.0.0.1:$((BASE + 11))",
  "metrics": "127.0.0.1:$((BASE + 12))", "store": "127.0.0.1:$BASE"}
@@ -108,9 +106,9 @@
     PIDS+=($router)
     wait_ready "127.0.0.1:$((BASE + 11))/ready"
     sleep 1
-    ticks0=$(ticks $router)
-    churn_entry 10
-    ticks1=$(ticks $router)
+    ticks0=$(cpu_ticks $router)
+    update_entries 10
+    ticks1=$(cpu_ticks $router)
     rss=$(awk '/VmRSS/ {print $2}' "/proc/$router/status")
     awk -v e="$endpoints" -v w="$workspaces" -v b="$bytes" -v t0="$ticks0" -v t1="$ticks1" -v rss="$rss" \
         'BEGIN {printf "| %d | %d | %d | %d | %.2f | %d |\n", e, w, b, t0 * 10, (t1 - t0) / 10, rss}'
--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Plays the days of deploy/days on the users' bench, on every site given:
+# Runs the days of deploy/days on the users' bench for each given site:
 #   scripts/days.sh BENCH WHY SITE...
-# BENCH is the bench's program. Needs the users' kit; not part of the tests.
+# BENCH is the path of the bench program. Requires the users' kit; not part of the tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bench=$1 why=$2
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,10 +1,9 @@
 #!/usr/bin/env bash
-# The main job: the Lone Star deployment in small on loopback. Starts one
-# yucca-platform, four counsel engines, one scheduler service and three
-# routers; applies the sample catalogue; runs yucca-load with one engine
-# leaving mid-run, first through our routers, then through the naive
-# round-robin baseline; stops everything it started; prints a summary and,
-# last, one JSON line. Exits non-zero when any request was lost or wrong.
+# Demonstrates a small version of the Lone Star deployment on loopback. Starts one yucca-platform, four counsel engines,
+# one scheduler service and three routers, and applies the sample catalogue. Runs yucca-load while one engine drains,
+# first with the affinity policy, then with the round-robin baseline, and then a move to another pool. Stops everything
+# it started, and prints a summary and one JSON line at the end. Exits with a non-zero status when a request failed or
+# was run twice, when none was served, or when the move did not happen.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/setup.sh
@@ -19,18 +18,17 @@
 apply_catalogue
 echo "demo: platform, 4 engines, 1 scheduler up; catalogue applied ($(wc -l <"$RUN/ctl.log") entries)"
 
-# The same returning conversations with engine-4 leaving 2 s in, through our
-# routers and through the naive baseline.
+# Runs the same returning conversations with the affinity policy and with the baseline; engine-4 drains after 2 s.
 reset_engines 4
-phase affinity yuccasaddle "${LOAD[@]}" --drain-at 2 --drain-engine engine-4
+run_phase affinity yuccasaddle "${LOAD[@]}" --drain-at 2 --drain-engine engine-4
 reset_engines 4
-phase roundrobin baseline "${LOAD[@]}" --drain-at 2 --drain-engine engine-4
-# The provider move: two engines of another pool join, and the counsel class
-# moves to them 3 s into the run by a conditional catalogue write.
+run_phase roundrobin baseline "${LOAD[@]}" --drain-at 2 --drain-engine engine-4
+# Provider move: two engines of another pool join, and a conditional catalogue write moves the counsel class to them
+# after 3 s.
 reset_engines 4
 for i in 5 6; do start_engine $i counsel-b; done
 sleep 1.5
-phase affinity migrate "${LOAD[@]}" --migrate-at 3 --migrate-class counsel --migrate-pool counsel-b
+run_phase affinity migrate "${LOAD[@]}" --migrate-at 3 --migrate-class counsel --migrate-pool counsel-b
 stop_all
 trap - EXIT
 
--- a/scripts/fleet.bash
+++ b/scripts/fleet.bash
@@ -1,6 +1,5 @@
-# A small fleet on loopback for the demo and the measurements: starts the
-# programs, registers endpoints, runs phases of yucca-load through routers of
-# one policy, and stops exactly what it started (by pid).
+# Functions for a small fleet on loopback, used by the demo and the measurements. They start programs, register
+# endpoints, run yucca-load through routers with one policy, and stop only what they started, by process id.
 BASE=${YUCCA_PORT_BASE:-19400}
 B=build
 RUN=$(mktemp -d)
@@ -24,7 +23,7 @@
         curl -sf "$1" >/dev/null 2>&1 && return 0
         sleep 0.1
     done
-    echo "$1 never became ready" >&2
+    echo "$1 did not become ready" >&2
     return 1
 }
 
@@ -54,7 +53,7 @@
     $B/yucca-ctl --port "$BASE" --author demo --reason "sample catalogue" apply config/catalogue-lonestar.json >"$RUN/ctl.log"
 }
 
-# Brings every engine back to an empty cache and into service.
+# Clears the cache of every engine and puts it back into service.
 reset_engines() { # count
     for i in $(seq 1 "$1"); do
         local at="127.0.0.1:$((BASE + 100 + i))"
@@ -62,12 +61,12 @@
         curl -sf -X POST "$at/v1/orders" -d '{"kind":"undrain","fence":4294967295,"holder":"demo"}' >/dev/null
         register "engine-$i" $((BASE + 100 + i)) counsel-a engine
     done
-    sleep 1.5 # the VM list lags
+    sleep 1.5 # until the delayed VM list shows the change
 }
 
-# One phase: three routers of a policy, then yucca-load with the options
-# given; its report goes to $RUN/LABEL.json.
-phase() { # policy label [yucca-load options]
+# Runs one phase: starts three routers with a policy and runs yucca-load with the given options. Its report is written
+# to $RUN/LABEL.json.
+run_phase() { # policy label [yucca-load options]
     local policy=$1 label=$2 routers=() list=""
     shift 2
     for i in 1 2 3; do
@@ -78,7 +77,7 @@
     done
     for i in 1 2 3; do wait_ready "127.0.0.1:$((BASE + 10 * i))/readyz"; done
     $B/yucca-load --routers "${list%,}" --platform-port "$BASE" --label "$label" "$@" >"$RUN/$label.json" 2>"$RUN/load-$label.log" || true
-    # A planned stop of each router: it waits for its requests in flight.
+    # Stops each router gracefully: a router finishes its requests in flight first.
     local clean=0
     for pid in "${routers[@]}"; do
         kill -TERM "$pid"
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,7 +1,6 @@
 #!/usr/bin/env bash
-# clang-tidy over every source file, with the checks of .clang-tidy. clang
-# compiles what g++ builds: Asio's coroutine support is switched on by hand,
-# as Boost 1.74 knows only older clangs.
+# Runs clang-tidy with the checks of .clang-tidy on all source files, or on the given ones. Asio's coroutine support is
+# enabled by defines, because Boost 1.74 does not detect it in this version of clang.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 TIDY=${CLANG_TIDY:-clang-tidy-16}
--- a/scripts/log_cost.sh
+++ b/scripts/log_cost.sh
@@ -1,15 +1,14 @@
 #!/usr/bin/env bash
-# What the log lines of requests cost an entry router in processor time, and
-# what a flood of requests makes of them: one router, two plain endpoints, one
-# caller on one connection. Prints a table for docs/MEASURES.md. Loopback
-# only; about a minute.
+# Measures the CPU time that an entry router spends on log lines per request, and how many lines the rate limit drops
+# under a flood of requests: one router, two endpoints without streams, one caller on one connection. Prints a table for
+# docs/MEASURES.md. Uses loopback only; takes about one minute.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/setup.sh
 scripts/build.sh
 source scripts/fleet.bash
 
-play() { # log level, requests a second (0: as many as go), seconds
+send_requests() { # log level, requests per second (0: as many as possible), seconds
     python3 - "$BASE" "$ROUTER" "$1" "$2" "$3" "$RUN/router.jsonl" <<'PY'
 import glob, http.client, json, sys, time
 base, pid, level, rate, seconds, log = int(sys.argv[1]), sys.argv[2], sys.argv[3], float(sys.argv[4]), float(sys.argv[5]), sys.argv[6]
@@ -19,17 +18,17 @@
     text = open(log).read().splitlines()
     return len(text), sum(json.loads(l).get("lines", 0) for l in text if '"LinesLeftOut"' in l)
 c = http.client.HTTPConnection("127.0.0.1", base + 10)
-def ask(n):
+def send_request(n):
     c.request("GET", "/remind/1", headers={"Host": "h.example", "Yuccasaddle-Attempt-Id": f"{level}-{rate}-{n}", "X-Api-Key": "key"})
     r = c.getresponse()
     r.read()
     assert r.status == 200, r.status
 for n in range(50):
-    ask(f"warm{n}")
-time.sleep(1.5)  # the budget of lines is full again
+    send_request(f"warm{n}")
+time.sleep(1.5)  # until the log rate limiter is full again
 cpu0, (l0, out0), t0, n = cpu_us(), lines(), time.time(), 0
 while time.time() - t0 < seconds:
-    ask(n)
+    send_request(n)
     n += 1
     if rate:
         time.sleep(max(0, t0 + n / rate - time.time()))
@@ -62,9 +61,9 @@
     ROUTER=$!
     PIDS+=($ROUTER)
     wait_ready "127.0.0.1:$((BASE + 11))/ready"
-    sleep 1 # the endpoints' entries
-    play $level 100 12
-    play $level 0 6
+    sleep 1 # until the router has the endpoints' entries
+    send_requests $level 100 12
+    send_requests $level 0 6
     kill -TERM $ROUTER
     wait $ROUTER || true
     PIDS=("${PIDS[@]/$ROUTER/}")
--- a/scripts/manpages.sh
+++ b/scripts/manpages.sh
@@ -1,6 +1,5 @@
 #!/usr/bin/env bash
-# Fails when a shipped program has an option or a command that its man page
-# does not name, or a page that does not format.
+# Fails when a man page does not name an option or a command of its program, or lacks a required section.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 for page in docs/man/*.1; do
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -1,8 +1,7 @@
 #!/usr/bin/env bash
-# The brief's three measures under churn, a surge and a store outage: each
-# scenario through our router, its earlier policy and the naive baseline, one
-# after the other on the same fleet. Prints the rows of docs/MEASURES.md.
-# About two minutes; loopback only.
+# Measures requests, cache reuse and load skew under churn, a surge and a store outage. Runs each scenario with the
+# affinity policy, the earlier bounded policy and the round-robin baseline, one after the other on the same fleet.
+# Prints the rows of docs/MEASURES.md. Uses loopback only; takes about two minutes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/setup.sh
@@ -29,7 +28,7 @@
     for policy in affinity bounded roundrobin; do
         reset_engines $ENGINES
         # shellcheck disable=SC2046
-        phase $policy "$scenario-$policy" $(options "$scenario") >/dev/null
+        run_phase $policy "$scenario-$policy" $(options "$scenario") >/dev/null
     done
 done
 python3 - "$RUN" "${SCENARIOS[@]}" <<'PY'
--- a/scripts/proofs.sh
+++ b/scripts/proofs.sh
@@ -1,14 +1,15 @@
 #!/usr/bin/env bash
-# The model check of the claim protocol and the fuzz runs of the decision
-# logic. Bounded and seeded: the same verdict every time.
+# Model-checks the claim protocol and fuzzes the event relay and the decoders. All runs are bounded and seeded, so that
+# results are reproducible.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 ROOT=$PWD
 OUT=build/proofs
 mkdir -p $OUT
 
-# Model check: no error with fresh nonces, and the old fault found without.
-check() { # directory, then spin defines; prints the number of errors found
+# Model check: expects no error with fresh nonces, and an error when nonces are reused, which shows that the model
+# detects this fault.
+model_check() { # directory, then spin defines; prints the number of errors found
     mkdir -p "$1" && cd "$1"
     spin -a "${@:2}" "$ROOT/proofs/claim.pml" >/dev/null
     gcc -O2 -DSAFETY -DCOLLAPSE -w -o pan pan.c
@@ -16,29 +17,29 @@
     cd "$ROOT"
     grep -oE 'errors: [0-9]+' "$1/pan.log" | cut -d' ' -f2
 }
-errors=$(check $OUT/claim)
+errors=$(model_check $OUT/claim)
 states=$(grep -oE '[0-9.e+]+ states, stored' $OUT/claim/pan.log)
 [ "$errors" = 0 ] || { echo "proofs: claim protocol: $errors errors"; exit 1; }
-seeded=$(check $OUT/claim-nonce-reused -DNONCE_REUSED)
-[ "$seeded" -gt 0 ] || { echo "proofs: the seeded fault was not found"; exit 1; }
+seeded_errors=$(model_check $OUT/claim-nonce-reused -DNONCE_REUSED)
+[ "$seeded_errors" -gt 0 ] || { echo "proofs: the seeded fault was not found"; exit 1; }
 echo "proofs: claim protocol: at most one run ($states); the seeded fault is found"
 
-# Fuzzing: a fixed number of runs from a fixed seed. The programs stand at fixed
-# addresses, which the fuzzer mixes into its choices.
+# Fuzzing: a fixed number of runs with a fixed seed. The programs are linked without PIE, because libFuzzer's choices
+# depend on code addresses.
 clang++ -std=c++20 -g -O1 -fsanitize=fuzzer,address,undefined -fno-pie -no-pie -Isrc -o $OUT/fuzz_events tests/fuzz/fuzz_events.cpp src/sse.cpp
 mkdir -p $OUT/corpus
 cp tests/golden/stream_resumed.txt $OUT/corpus/
 $OUT/fuzz_events -seed=1 -runs=100000 -max_len=512 -verbosity=0 $OUT/corpus >$OUT/fuzz.log 2>&1 || { tail -20 $OUT/fuzz.log; exit 1; }
 echo "proofs: event relay: 100000 fuzz runs without a finding"
 
-# The decoders of what comes from outside. Asio's coroutine support is switched
-# on by hand, as Boost 1.74 knows only older clangs.
+# Fuzzing of the decoders of external input. Asio's coroutine support is enabled by defines, because Boost 1.74 does not
+# detect it in this version of clang.
 clang++ -std=c++20 -g -O1 -fsanitize=fuzzer,address,undefined -fno-pie -no-pie -w -DBOOST_ASIO_HAS_CO_AWAIT=1 -DBOOST_ASIO_HAS_STD_COROUTINE=1 \
     -Iinclude -Isrc -Iplatform -Iemulators -o $OUT/fuzz_decoders tests/fuzz/fuzz_decoders.cpp platform/codec.cpp platform/prompt_parts.cpp \
     src/entry/entry_settings.cpp src/entry/configuration.cpp src/explain.cpp src/load_digest.cpp emulators/model/scenario.cpp src/settings.cpp src/findings.cpp src/http.cpp
 mkdir -p $OUT/decoders
 cp config/router.json $OUT/decoders/
-cp tests/fuzz/regressions/decoders/* $OUT/decoders/ # what fuzzing found once
+cp tests/fuzz/regressions/decoders/* $OUT/decoders/ # inputs of earlier findings
 printf '{"version":1,"routes":[{"host":"h","path_prefix":"/a/","kind":"streaming","service":"s"}],"services":[{"name":"s"}]}' >$OUT/decoders/configuration
 printf '{"service":"s","address":"1.2.3.4:5"}' >$OUT/decoders/endpoint
 printf '5c1e07a2:800,91bd3f06:410' >$OUT/decoders/parts
--- a/scripts/rounds.py
+++ b/scripts/rounds.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Plays days of a deployment on the users' bench with several seeds and tells
-the mean worth, its spread, and where it is lost.
+"""Runs days of a deployment on the users' bench with several seeds. Prints the
+mean worth, its standard error, and the causes of losses.
 
     scripts/rounds.py BENCH SITE --why TEXT [--days D,D] [--seeds 1,2,3]
                       [--no-cpu] [--jobs 4] [--json FILE] [--against FILE]
 
-Needs the users' kit; not part of the tests. --against pairs the runs with
-those of another round's --json by day and seed.
+Requires the users' kit; not part of the tests. --against compares the runs, by
+day and seed, with those that an earlier call wrote with --json.
 """
 import argparse
 import concurrent.futures
@@ -18,24 +18,24 @@
 import tempfile
 
 TROUBLE_DAYS = "trouble-1,scale-1,trouble-2,scale-2,trouble-3"
-LEAST_PRICE = 0.0005  # of a day's worth; smaller ones are left out of the table
+MIN_PRICE = 0.0005  # fraction of a day's worth; smaller prices are not printed
 
 
-def play(args, day, seed):
-    """One day; its report, or what the bench said instead."""
+def run_day(args, day, seed):
+    """Runs one day and returns its report. Exits with the bench's output if there is no report."""
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         command = [args.bench, "run", args.site, day, "--seed", str(seed), "--jobs", "1", "--report", report.name, "--why", args.why]
         if args.no_cpu:
             command.append("--no-cpu")
-        done = subprocess.run(command, capture_output=True, text=True, check=False)
+        completed = subprocess.run(command, capture_output=True, text=True, check=False)
         text = report.read()
         if not text:
-            sys.exit(f"{day} seed {seed}: {done.stdout[-800:]}{done.stderr[-800:]}")
+            sys.exit(f"{day} seed {seed}: {completed.stdout[-800:]}{completed.stderr[-800:]}")
         return json.loads(text)
 
 
-def summary(report):
-    """What a round keeps of a day."""
+def summarize(report):
+    """Returns the parts of a day's report that are compared and stored."""
     return {
         "worth": report["G"],
         "parts": {name: value for name, _, value in report["parts"]},
@@ -49,31 +49,31 @@
 
 
 def mean_by(rows, key):
-    """The mean over days of each entry of a table that days hold."""
+    """Returns the mean over all rows of each entry of the table row[key]."""
     names = {name for row in rows for name in row[key]}
     return {n: sum(row[key].get(n, 0) for row in rows) / len(rows) for n in names}
 
 
-def spread(values):
+def standard_error(values):
     return statistics.stdev(values) / math.sqrt(len(values)) if len(values) > 1 else 0.0
 
 
-def tell(results, against):
+def print_results(results, against):
     days = sorted({key.split("@")[0] for key in results})
     for day in days:
-        own = [r["worth"] for key, r in results.items() if key.split("@")[0] == day]
-        print(f"{day:<12} worth {statistics.mean(own):.4f}  +- {spread(own):.4f}  {' '.join(f'{w:.3f}' for w in own)}")
+        day_worths = [r["worth"] for key, r in results.items() if key.split("@")[0] == day]
+        print(f"{day:<12} worth {statistics.mean(day_worths):.4f}  +- {standard_error(day_worths):.4f}  {' '.join(f'{w:.3f}' for w in day_worths)}")
     rows = list(results.values())
-    worths = [r["worth"] for r in rows]
-    print(f"{'all':<12} worth {statistics.mean(worths):.4f}  +- {spread(worths):.4f}  {len(worths)} days")
+    all_worths = [r["worth"] for r in rows]
+    print(f"{'all':<12} worth {statistics.mean(all_worths):.4f}  +- {standard_error(all_worths):.4f}  {len(all_worths)} days")
     if against:
         paired = [r["worth"] - against[key]["worth"] for key, r in results.items() if key in against]
         if paired:
-            print(f"{'paired':<12} gain  {statistics.mean(paired):+.4f}  +- {spread(paired):.4f}  {len(paired)} pairs")
+            print(f"{'paired':<12} gain  {statistics.mean(paired):+.4f}  +- {standard_error(paired):.4f}  {len(paired)} pairs")
     print("parts       ", "  ".join(f"{n} {v:.4f}" for n, v in sorted(mean_by(rows, 'parts').items())))
     print("kinds       ", "  ".join(f"{n} {v:.4f}" for n, v in sorted(mean_by(rows, 'classes').items())))
     prices = sorted(mean_by(rows, "prices").items(), key=lambda p: -p[1])
-    print("prices      ", "  ".join(f"{n} {v:.4f}" for n, v in prices if v >= LEAST_PRICE))
+    print("prices      ", "  ".join(f"{n} {v:.4f}" for n, v in prices if v >= MIN_PRICE))
     unserved = sorted(mean_by(rows, "unserved").items(), key=lambda p: -p[1])
     print("not served  ", "  ".join(f"{n} {v:.1f}" for n, v in unserved))
     for key, r in results.items():
@@ -93,10 +93,10 @@
     parser.add_argument("--json")
     parser.add_argument("--against")
     args = parser.parse_args()
-    plays = [(day, int(seed)) for day in args.days.split(",") for seed in args.seeds.split(",")]
+    runs = [(day, int(seed)) for day in args.days.split(",") for seed in args.seeds.split(",")]
     with concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
-        reports = list(pool.map(lambda p: play(args, *p), plays))
-    results = {f"{day}@{seed}": summary(report) for (day, seed), report in zip(plays, reports)}
+        reports = list(pool.map(lambda run: run_day(args, *run), runs))
+    results = {f"{day}@{seed}": summarize(report) for (day, seed), report in zip(runs, reports)}
     against = None
     if args.against:
         with open(args.against, encoding="utf-8") as file:
@@ -104,7 +104,7 @@
     if args.json:
         with open(args.json, "w", encoding="utf-8") as file:
             json.dump(results, file)
-    tell(results, against)
+    print_results(results, against)
 
 
 if __name__ == "__main__":
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages the build uses, only where one is missing.
+# Installs the Debian packages that the build needs and that are missing.
 set -euo pipefail
 PACKAGES=(cmake g++ make pkg-config libboost-dev nlohmann-json3-dev
           liblog4cxx-dev libpopt-dev libcpputest-dev libxxhash-dev curl python3
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The test command: installs what is missing, builds, runs the CppUTest
-# binary and the end-to-end tests, and ends with the runner's closing line.
+# Runs all tests and checks: installs missing packages, builds, runs the unit tests (CppUTest), the end-to-end tests and
+# the checks, and prints the totals in the last line.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/setup.sh
@@ -9,9 +9,8 @@
 e2e_passed=0
 e2e_failed=0
 
-# A test named in KNOWN-RED.txt runs like the others; it may fail, and is
-# printed either way. Each line: the test (GROUP.NAME or a script's name),
-# then its command and seed, cause and issue.
+# A test listed in KNOWN-RED.txt runs like the others and may fail; its result is printed either way. Each line holds
+# the test (GROUP.NAME or a script's name), then its command and seed, the cause, and the issue.
 known_red() { # test
     [ -s KNOWN-RED.txt ] && grep -qE "^$1([[:space:]]|$)" KNOWN-RED.txt
 }
@@ -39,7 +38,7 @@
 if [ "$unit_failed" -gt 0 ]; then
     grep -A6 "Failure in" build/unit.log | head -80
 fi
-# A run that ended early, or without a word, is a failure too.
+# A run that crashed, timed out or printed no result counts as a failure.
 if ! grep -qE "^(OK|Errors) \(" build/unit.log; then
     tail -5 build/unit.log
     unit_failed=$((unit_failed + 1))
@@ -48,7 +47,7 @@
     echo "$failed_tests" | grep -qx "$t" || echo "known red, but it passed: $t"
 done
 
-# End-to-end tests: separate processes on loopback.
+# End-to-end tests, with separate processes on loopback.
 for t in tests/e2e/*.sh; do
     [ -e "$t" ] || continue
     log="build/$(basename "$t" .sh).log"
@@ -65,8 +64,8 @@
     fi
 done
 
-# Behaviour drift: the routing bench's signature hashes every decision of
-# both policies; a change that alters routing must update tests/bench.signature.
+# Detects changes of routing behaviour: the bench's signature is a hash of every decision of both policies. A change
+# that alters routing must update tests/bench.signature.
 sig=$(build/yucca-sim bench | awk '/^signature/ {print $2}')
 if [ "$sig" = "$(cat tests/bench.signature)" ]; then
     echo "bench signature: ok ($sig)"
@@ -76,7 +75,7 @@
     e2e_failed=$((e2e_failed + 1))
 fi
 
-# Runs one of the checks; its output is shown when it fails.
+# Runs one check, and prints the end of its output if it fails.
 run_check() { # name, then the command
     local name=$1; shift
     if "$@" >"build/$name.log" 2>&1; then
@@ -90,9 +89,9 @@
 }
 
 run_check proofs scripts/proofs.sh
-# clang-format (KDE Frameworks style) leaves every file as it is; clang-tidy finds nothing.
+# All files must be formatted by clang-format (KDE Frameworks style).
 run_check format clang-format --dry-run --Werror $(git ls-files '*.cpp' '*.h')
-# The platform's words stay in platform/; the emulators of the outside speak them too.
+# Names of the platform's wire protocol must stay in platform/ and the emulators.
 run_check names scripts/names.sh
 run_check manpages scripts/manpages.sh
 run_check lint scripts/lint.sh
--- a/tests/e2e/lib.bash
+++ b/tests/e2e/lib.bash
@@ -1,5 +1,5 @@
-# Helpers for the end-to-end tests: start programs on loopback, wait for
-# them with bounded polls, stop exactly the ones started (by pid).
+# Functions for the end-to-end tests. They start programs on loopback, wait for them with a limited number of polls, and
+# stop only what they started, by process id.
 set -euo pipefail
 B=${B:-build}
 RUN=$(mktemp -d)
@@ -18,23 +18,22 @@
     LAST_PID=$!
 }
 
-# Polls a URL until it answers 2xx; bounded to 100 tries.
+# Polls a URL until it answers 2xx, at most 100 times.
 wait_ok() {
     for _ in $(seq 1 100); do
         curl -sf "$1" >/dev/null 2>&1 && return 0
         sleep 0.1
     done
-    echo "never ready: $1"; return 1
+    echo "$1 did not become ready"; return 1
 }
 
 register() { # platform-port id port pool kind
     curl -sf -X PUT "127.0.0.1:$1/admin/vms/$2" -d "{\"host\":\"127.0.0.1\",\"port\":$3,\"pool\":\"$4\",\"kind\":\"$5\"}" >/dev/null
 }
 
-# The own interface's fleet: a platform, engines, a scheduler and two routers
-# with the sample catalogue. Sets ENGINE_N and ROUTER_N to their pids, R1 and R2
-# to the routers' addresses.
-start_own_fleet() { # first port, number of engines [settings of engines, settings of routers]
+# Starts a fleet with the native interface: a platform, engines, a scheduler and two routers, with the sample catalogue.
+# Sets ENGINE_N and ROUTER_N to process ids, and R1 and R2 to the routers' addresses.
+start_native_fleet() { # first port, number of engines [settings of engines, settings of routers]
     local base=$1 engines=$2 engine_settings=() router_settings=()
     [ -z "${3:-}" ] || engine_settings=(--config "$3")
     [ -z "${4:-}" ] || router_settings=(--config "$4")
--- a/tests/fuzz/fuzz_decoders.cpp
+++ b/tests/fuzz/fuzz_decoders.cpp
@@ -1,5 +1,5 @@
-// libFuzzer target: the decoders of what comes from outside take any bytes.
-// What they accept is whole; what they reject has a finding.
+// libFuzzer target: the decoders of external input handle any bytes. Accepted values are valid, and each rejected
+// configuration or endpoint entry comes with a finding.
 #include "codec.h"
 #include "dialect.h"
 #include "entry/entry_settings.h"
@@ -36,36 +36,36 @@
         }
     }
     const Clock::time_point now{std::chrono::hours(1)};
-    const auto reports = peers::decode({data, size}, now);
-    if (ok(reports)) {
-        for (const auto &report : std::get<peers::Digest>(reports).loads) {
+    const auto message = peers::decode({data, size}, now);
+    if (ok(message)) {
+        for (const auto &report : std::get<peers::Digest>(message).loads) {
             require(report.load >= 0 && report.heardAt <= now);
         }
     }
-    explain::Reader reader("q1");
+    explain::Reader timeline("q1");
     std::istringstream log(bytes);
-    reader.read(log, "fuzz");
-    require(!reader.finish().cause.empty() || size > 0);
+    timeline.read(log, "fuzz");
+    require(!timeline.finish().cause.empty() || size > 0);
     const auto value = nlohmann::json::parse(bytes, nullptr, false, true);
     if (value.is_discarded()) {
         return 0;
     }
-    Findings configuration;
-    const auto parsed = platform::ObjectCodec::configuration(value, configuration);
-    require(parsed.has_value() == configuration.empty());
-    if (parsed) {
-        for (const auto &route : parsed->routes) {
+    Findings configurationFindings;
+    const auto configuration = platform::ObjectCodec::configuration(value, configurationFindings);
+    require(configuration.has_value() == configurationFindings.empty());
+    if (configuration) {
+        for (const auto &route : configuration->routes) {
             require(route.maxAttempts >= 1 && !route.destinations.empty());
         }
     }
-    Findings endpoint;
-    require(platform::ObjectCodec::endpoint("i-1", value, endpoint).has_value() == endpoint.empty());
-    Findings settings;
-    entry::parseSettings(value, settings);
-    Findings problems;
-    const auto scenario = model::parseScenario(value, problems);
+    Findings endpointFindings;
+    require(platform::ObjectCodec::endpoint("i-1", value, endpointFindings).has_value() == endpointFindings.empty());
+    Findings settingsFindings;
+    entry::parseSettings(value, settingsFindings);
+    Findings scenarioFindings;
+    const auto scenario = model::parseScenario(value, scenarioFindings);
     for (const auto &kind : scenario.kinds) {
-        require(!problems.empty() || scenario.pool(kind.pool));
+        require(!scenarioFindings.empty() || scenario.pool(kind.pool));
     }
     return 0;
 }
--- a/tests/fuzz/fuzz_events.cpp
+++ b/tests/fuzz/fuzz_events.cpp
@@ -1,6 +1,5 @@
-// libFuzzer target: the event relay against a naive one. However the bytes
-// of a stream arrive, cut anywhere, resumed or repeated, the events handed
-// out are whole, in order and without repeats.
+// libFuzzer target: the event relay with input in pieces, compared with the relay with the same input at once. However
+// a stream's bytes are split, resumed or repeated, the relayed events are whole, in order and without repeats.
 #include "sse.h"
 
 #include <cstddef>
@@ -13,7 +12,7 @@
 namespace
 {
 
-std::string joined(const std::vector<std::string> &events)
+std::string concatenate(const std::vector<std::string> &events)
 {
     std::string out;
     for (const auto &e : events) {
@@ -36,28 +35,28 @@
     if (size < 2) {
         return 0;
     }
-    const std::size_t step = 1 + data[0] % 16;
+    const std::size_t pieceSize = 1 + data[0] % 16;
     const std::string bytes(reinterpret_cast<const char *>(data + 1), size - 1);
-    // The naive relay gets everything at once.
-    EventRelay whole;
-    const std::string expected = joined(whole.push(bytes));
-    // Ours gets it in pieces.
-    EventRelay pieces;
-    std::string got;
-    uint64_t last = 0;
-    for (std::size_t at = 0; at < bytes.size(); at += step) {
-        got += joined(pieces.push(std::string_view(bytes).substr(at, step)));
-        require(pieces.lastId() >= last);
-        last = pieces.lastId();
+    // The reference relay receives the input at once.
+    EventRelay reference;
+    const std::string expected = concatenate(reference.push(bytes));
+    // The second relay receives the input in pieces.
+    EventRelay relay;
+    std::string actual;
+    uint64_t lastId = 0;
+    for (std::size_t at = 0; at < bytes.size(); at += pieceSize) {
+        actual += concatenate(relay.push(std::string_view(bytes).substr(at, pieceSize)));
+        require(relay.lastId() >= lastId);
+        lastId = relay.lastId();
     }
-    require(got == expected);
-    require(pieces.complete() == whole.complete());
-    // A resumed run that repeats all of it adds no event with an id again.
-    pieces.runEnded();
-    const uint64_t before = pieces.lastId();
-    for (const auto &event : pieces.push(bytes)) {
+    require(actual == expected);
+    require(relay.complete() == reference.complete());
+    // A resumed run that repeats the whole input yields only whole events, and the last id does not decrease.
+    relay.runEnded();
+    const uint64_t idBefore = relay.lastId();
+    for (const auto &event : relay.push(bytes)) {
         require(event.find("\n\n") == event.size() - 2);
     }
-    require(pieces.lastId() >= before);
+    require(relay.lastId() >= idBefore);
     return 0;
 }
--- a/tests/test_soak.cpp
+++ b/tests/test_soak.cpp
@@ -1,5 +1,5 @@
-// The soak's own parts: plans that can be played again, promises whose breach
-// is seen, a proxy that disturbs what it is told to.
+// Tests of the soak test's parts: plans are reproducible, violations of guarantees are reported, and the proxy applies
+// its disturbances.
 #include "soak/plan.h"
 #include "soak/promises.h"
 
@@ -14,7 +14,7 @@
 
 TEST_GROUP(SoakPlan){};
 
-TEST(SoakPlan, TheSameSeedMakesTheSamePlanAndAnotherAnother)
+TEST(SoakPlan, SameSeedGivesSamePlanAndOtherSeedGivesAnother)
 {
     soak::PlanOptions options;
     CHECK(soak::makePlan(options) == soak::makePlan(options));
@@ -23,66 +23,66 @@
     CHECK(first != soak::makePlan(options));
 }
 
-TEST(SoakPlan, StepsComeInOrderStrikeWhatIsThereAndOverTheSeedsOfEveryKind)
+TEST(SoakPlan, StepsAreOrderedHaveValidTargetsAndCoverEveryFaultOverManySeeds)
 {
     std::set<soak::Fault> seen;
     for (uint64_t seed = 1; seed <= 50; ++seed) {
         soak::PlanOptions options;
         options.seed = seed;
-        Millis before{0};
+        Millis previous{0};
         for (const auto &step : soak::makePlan(options)) {
-            CHECK(step.at >= before && step.at < options.length);
+            CHECK(step.at >= previous && step.at < options.duration);
             CHECK(step.target < std::max(options.routers, options.endpoints));
-            CHECK(step.lasts > Millis(0));
-            before = step.at;
+            CHECK(step.duration > Millis(0));
+            previous = step.at;
             seen.insert(step.fault);
         }
     }
     LONGS_EQUAL(soak::faultNames.size(), seen.size());
 }
 
-TEST_GROUP(SoakPromises)
+TEST_GROUP(SoakInvariants)
 {
-    soak::Promises promises{2};
-    const std::string events = "id: 1\ndata: token1\n\nid: 2\ndata: token2\n\n";
-    const std::string half = events.substr(0, events.size() / 2);
+    soak::InvariantChecker checker{2};
+    const std::string allEvents = "id: 1\ndata: token1\n\nid: 2\ndata: token2\n\n";
+    const std::string halfOfEvents = allEvents.substr(0, allEvents.size() / 2);
 
-    // True when a request's record is taken for a broken promise.
-    bool broken(Kind kind, unsigned status, const std::string &body, bool whole, int runs, bool authentic = true)
+    // Returns true when the checker reports a violation for one request's record.
+    bool isViolation(Kind kind, unsigned status, const std::string &body, bool complete, int runs, bool hasSignature = true)
     {
-        soak::Promises own{2};
-        own.note("q1", {kind, status, whole, authentic, body});
+        soak::InvariantChecker ownChecker{2};
+        ownChecker.recordResponse("q1", {kind, status, complete, hasSignature, body});
         for (int i = 0; i < runs; ++i) {
-            own.ran("q1");
+            ownChecker.recordRun("q1");
         }
-        return !own.broken().empty();
+        return !ownChecker.violations().empty();
     }
 };
 
-TEST(SoakPromises, WhatIsKeptIsNotTakenForBroken)
+TEST(SoakInvariants, OutcomesWithinTheGuaranteesAreNoViolation)
 {
-    CHECK(!broken(Kind::Booking, 200, "answer of i-1 to q1", true, 1));
-    CHECK(!broken(Kind::Booking, 502, "answer_lost", true, 1));
-    CHECK(!broken(Kind::Booking, 503, "not_executed", true, 0));
-    CHECK(!broken(Kind::Booking, 0, "", false, 1));
-    CHECK(!broken(Kind::Reminder, 200, "answer of i-1 to q1", true, 2));
-    CHECK(!broken(Kind::Reminder, 503, "no_endpoint", true, 1)); // it may be repeated
-    CHECK(!broken(Kind::Chat, 200, events, true, 2));
-    CHECK(!broken(Kind::Chat, 200, half, false, 1));
+    CHECK(!isViolation(Kind::Booking, 200, "answer of i-1 to q1", true, 1));
+    CHECK(!isViolation(Kind::Booking, 502, "answer_lost", true, 1));
+    CHECK(!isViolation(Kind::Booking, 503, "not_executed", true, 0));
+    CHECK(!isViolation(Kind::Booking, 0, "", false, 1));
+    CHECK(!isViolation(Kind::Reminder, 200, "answer of i-1 to q1", true, 2));
+    CHECK(!isViolation(Kind::Reminder, 503, "no_endpoint", true, 1)); // an idempotent request may run again, so 503 need not mean that it was not run
+    CHECK(!isViolation(Kind::Chat, 200, allEvents, true, 2));
+    CHECK(!isViolation(Kind::Chat, 200, halfOfEvents, false, 1));
 }
 
-TEST(SoakPromises, EachBreachIsSeen)
+TEST(SoakInvariants, EachViolationIsReported)
 {
-    CHECK(broken(Kind::Booking, 200, "answer of i-1 to q1", true, 2));
-    CHECK(broken(Kind::Single, 0, "", false, 2));
-    CHECK(broken(Kind::Booking, 503, "not_executed", true, 1));
-    CHECK(broken(Kind::Booking, 429, "", true, 1));
-    CHECK(broken(Kind::Booking, 200, "answer of i-1 to q2", true, 1));
-    CHECK(broken(Kind::Reminder, 200, "answer of i-1 to q1", true, 1, false));
-    CHECK(broken(Kind::Chat, 200, half, true, 1)); // cut, and looks complete
-    CHECK(broken(Kind::Chat, 200, half + half, true, 1));
-    CHECK(broken(Kind::Chat, 200, events + half, false, 1));
-    CHECK(broken(Kind::Chat, 200, events.substr(0, 5), false, 1)); // cut within an event
+    CHECK(isViolation(Kind::Booking, 200, "answer of i-1 to q1", true, 2));
+    CHECK(isViolation(Kind::Single, 0, "", false, 2));
+    CHECK(isViolation(Kind::Booking, 503, "not_executed", true, 1));
+    CHECK(isViolation(Kind::Booking, 429, "", true, 1));
+    CHECK(isViolation(Kind::Booking, 200, "answer of i-1 to q2", true, 1));
+    CHECK(isViolation(Kind::Reminder, 200, "answer of i-1 to q1", true, 1, false));
+    CHECK(isViolation(Kind::Chat, 200, halfOfEvents, true, 1)); // truncated, but ended as complete
+    CHECK(isViolation(Kind::Chat, 200, halfOfEvents + halfOfEvents, true, 1));
+    CHECK(isViolation(Kind::Chat, 200, allEvents + halfOfEvents, false, 1));
+    CHECK(isViolation(Kind::Chat, 200, allEvents.substr(0, 5), false, 1)); // truncated within an event
 }
 
 LOOP_GROUP(SoakProxy);
@@ -90,7 +90,7 @@
 namespace
 {
 
-// One call through a proxy; 0 when no answer came.
+// Calls the server through a proxy. Returns the status, 0 without a response.
 unsigned callThrough(Loop &loop, http::Client &client, uint16_t port)
 {
     http::CallOptions options;
@@ -109,11 +109,11 @@
 
 } // namespace
 
-TEST(SoakProxy, ItForwardsDisturbsAndForwardsAgain)
+TEST(SoakProxy, ForwardsWithoutDisturbanceAndAgainAfterDisturbancesEnd)
 {
-    int asked = 0;
+    int receivedRequests = 0;
     FakeEndpoint server(loop(), [&](http::Exchange &ex) {
-        ++asked;
+        ++receivedRequests;
         return ex.reply(200, "{}");
     });
     const uint16_t port = freePort(loop());
@@ -122,13 +122,13 @@
     LONGS_EQUAL(200, callThrough(loop(), client, port));
     proxy.disturb(soak::Disturbance::Reset);
     LONGS_EQUAL(0, callThrough(loop(), client, port));
-    LONGS_EQUAL(1, asked);
+    LONGS_EQUAL(1, receivedRequests);
     proxy.disturb(soak::Disturbance::MuteForth);
     LONGS_EQUAL(0, callThrough(loop(), client, port));
-    LONGS_EQUAL(1, asked);
+    LONGS_EQUAL(1, receivedRequests);
     proxy.disturb(soak::Disturbance::MuteBack);
     LONGS_EQUAL(0, callThrough(loop(), client, port));
-    LONGS_EQUAL(2, asked); // it ran, and its answer was swallowed
+    LONGS_EQUAL(2, receivedRequests); // the request arrived, and its response was dropped
     proxy.disturb(soak::Disturbance::None);
     LONGS_EQUAL(200, callThrough(loop(), client, port));
 }
