--- a/emulators/bench.cpp
+++ b/emulators/bench.cpp
@@ -241,7 +241,7 @@
         ++m_decisions;
         const std::string id = policy.members()[*pick];
         m_signature = ring::hash(id, m_signature);
-        policy.placed(*pick, m_now);
+        policy.requestStarted(*pick, m_now);
         auto *e = findEngine(id);
         if (!e) {
             scheduleFinish(router, id, milliseconds(1)); // the engine has left: its connection is refused
@@ -277,7 +277,7 @@
         auto *engine = findEngine(e.engine);
         auto member = memberIndex(policy, e.engine);
         if (engine && member) {
-            policy.reported(*member, engine->reports.reported(m_now), m_now);
+            policy.recordLoadReport(*member, engine->reports.reported(m_now), m_now);
         }
     }
 
@@ -287,7 +287,7 @@
             engine->reports.record(m_now, --engine->load);
         }
         if (auto member = memberIndex(m_policies[e.router], e.engine)) {
-            m_policies[e.router].finished(*member, m_now);
+            m_policies[e.router].requestFinished(*member, m_now);
         }
     }
 
@@ -382,7 +382,8 @@
            s.seconds);
     printf("%-11s %8s %10s %11s %9s %12s\n", "policy", "reuse", "mean skew", "worst skew", "over cap", "ns/decision");
     uint64_t signature = measure("affinity", placement::PrefixAffinity(), s);
-    signature = ring::hash(std::to_string(measure("bounded", placement::OwnBound(virtualNodes, placement::AffinityOptions().loadFactor), s)), signature);
+    signature =
+        ring::hash(std::to_string(measure("bounded", placement::BoundedLoadHashing(virtualNodes, placement::AffinityOptions().loadFactor), s)), signature);
     signature = ring::hash(std::to_string(measure("roundrobin", placement::RoundRobin(), s)), signature);
     printf("signature %016llx\n", static_cast<unsigned long long>(signature));
     return 0;
--- a/emulators/endpoint_main.cpp
+++ b/emulators/endpoint_main.cpp
@@ -14,7 +14,7 @@
 // that it is leaving.
 Task<void> stopGracefully(emulators::EndpointServer &endpoint, http::Server &server, Millis stopDelay)
 {
-    co_await cli::stopSignal();
+    co_await cli::waitForStopSignal();
     endpoint.leave();
     co_await sleepFor(stopDelay);
     server.stopAccepting();
@@ -25,7 +25,7 @@
 
 int main(int argc, const char **argv)
 {
-    cli::Common common;
+    cli::CommonOptions common;
     emulators::EndpointOptions options;
     char *id = nullptr;
     char *service = nullptr;
--- a/emulators/endpoint_server.cpp
+++ b/emulators/endpoint_server.cpp
@@ -211,7 +211,7 @@
 {
     co_await sleepFor(m_options.work);
     if (m_faults.loseAnswers) {
-        ex.drop();
+        ex.abort();
         co_return;
     }
     const auto headers = responseHeaders(ex);
@@ -220,14 +220,14 @@
 
 Task<void> EndpointServer::sendStream(http::Exchange &ex)
 {
-    const int after = text::number<int>(ex.header("Last-Event-Id")).value_or(0);
+    const int after = text::parseNumber<int>(ex.header("Last-Event-Id")).value_or(0);
     const auto headers = responseHeaders(ex);
     co_await ex.beginStream(200, "text/event-stream", headers);
     for (int i = after + 1; i <= m_options.events; ++i) {
         co_await sleepFor(m_options.eventGap);
         if (m_faults.cutAfter >= 0 && i > m_faults.cutAfter) {
             co_await ex.sendChunk("id: " + std::to_string(i)); // an incomplete event
-            ex.drop();
+            ex.abort();
             co_return;
         }
         const bool delivered = co_await ex.sendChunk(eventText(i));
--- a/emulators/engine_main.cpp
+++ b/emulators/engine_main.cpp
@@ -8,7 +8,7 @@
 
 int main(int argc, const char **argv)
 {
-    cli::Common common;
+    cli::CommonOptions common;
     int port = -1;
     char *id = nullptr;
     char *kind = nullptr;
--- a/emulators/engine_server.cpp
+++ b/emulators/engine_server.cpp
@@ -107,7 +107,7 @@
     } else if (post && path == "/v1/kv/import") {
         co_await importKv(ex);
     } else if (path == "/v1/kv/events") {
-        co_await ex.reply(200, cacheEvents(static_cast<uint64_t>(text::number(ex.query("since")).value_or(0))).dump());
+        co_await ex.reply(200, cacheEvents(static_cast<uint64_t>(text::parseNumber(ex.query("since")).value_or(0))).dump());
     } else if (path == "/load") {
         co_await ex.reply(200, loadReport().dump());
     } else if (path == "/stats") {
@@ -173,13 +173,13 @@
 {
     Generation g;
     const std::string prompt = prefix::promptText(body["messages"]);
-    const auto tokens = prefix::tokens(prompt);
+    const auto tokens = prefix::tokenize(prompt);
     g.blocks = prefix::blockHashes(tokens, static_cast<std::size_t>(m_settings.blockTokens));
     g.promptTokens = tokens.size();
     g.stream = body.value("stream", false);
     g.model = body.value("model", m_model);
     g.requestId = ex.header("x-request-id");
-    g.resumeAfter = static_cast<uint64_t>(std::max<int64_t>(0, text::number(ex.header("last-event-id")).value_or(0)));
+    g.resumeAfter = static_cast<uint64_t>(std::max<int64_t>(0, text::parseNumber(ex.header("last-event-id")).value_or(0)));
     const auto count = static_cast<std::size_t>(std::clamp<int64_t>(body.value("max_tokens", int64_t{16}), 1, maxResponseTokens));
     g.answer = answerTokens(ring::hash(prompt), count);
     return g;
@@ -195,15 +195,15 @@
         co_return;
     }
     auto g = parseChat(ex, body);
-    const auto deadline = Clock::now() + Millis(text::number(ex.header("x-deadline-ms")).value_or(defaultDeadlineMs));
+    const auto deadline = Clock::now() + Millis(text::parseNumber(ex.header("x-deadline-ms")).value_or(defaultDeadlineMs));
     updateInflight(+1);
-    const bool admitted = co_await m_slots.acquire(text::number(ex.header("x-priority")).value_or(5), deadline);
+    const bool admitted = co_await m_slots.acquire(text::parseNumber(ex.header("x-priority")).value_or(5), deadline);
     if (!admitted) {
         updateInflight(-1);
         co_await reject(ex, "queue full or deadline passed in the queue");
         co_return;
     }
-    if (ex.callerGone()) {
+    if (ex.callerDisconnected()) {
         ++m_cancelled; // the caller left the queue
     } else {
         co_await generate(ex, g);
@@ -246,7 +246,7 @@
     for (uint64_t event = g.resumeAfter + 1; event <= g.answer.size(); ++event) {
         co_await sleepFor(timePerToken());
         if (cut && sent == m_faults.cutAfter) {
-            ex.drop();
+            ex.abort();
             co_return true;
         }
         const json chunk = makeChunk(id, g.model, g.answer[event - 1]);
@@ -268,7 +268,7 @@
     std::string content;
     for (const auto &token : g.answer) {
         co_await sleepFor(timePerToken());
-        if (ex.callerGone()) {
+        if (ex.callerDisconnected()) {
             co_return false;
         }
         content += token + " ";
@@ -290,7 +290,7 @@
     updateInflight(-1);
     if (m_faults.loseAnswers > 0) {
         --m_faults.loseAnswers;
-        ex.drop(); // the operation ran; its response is lost
+        ex.abort(); // the operation ran; its response is lost
         co_return;
     }
     const json answer = makeConfirmation(operation, m_settings.id + "-" + std::to_string(confirmation));
@@ -339,7 +339,7 @@
     json blocks = json::array();
     if (body.is_object() && body.contains("messages")) {
         const std::string prompt = prefix::promptText(body["messages"]);
-        const auto tokens = prefix::tokens(prompt);
+        const auto tokens = prefix::tokenize(prompt);
         for (auto block : prefix::blockHashes(tokens, static_cast<std::size_t>(m_settings.blockTokens))) {
             if (!m_cache.contains(block)) {
                 break;
--- a/emulators/experiment.cpp
+++ b/emulators/experiment.cpp
@@ -273,7 +273,7 @@
 {
     ChatResult result;
     const auto sentAt = Clock::now();
-    const auto options = callOptions(callerTimeout, http::Reuse::KeptOrAgain);
+    const auto options = callOptions(callerTimeout, http::ConnectionReuse::KeepAliveWithRetry);
     auto request = http::makeRequest("POST", "/v1/chat/completions", std::move(body), chatHeaders(workspace, requestId));
     auto opened = co_await m_client.open(std::move(to), std::move(request), options);
     if (auto *error = std::get_if<http::CallError>(&opened)) {
@@ -343,7 +343,7 @@
             last = Clock::now();
         }
     }
-    result.complete = events.complete() && !events.gap();
+    result.complete = events.isComplete() && !events.hasGap();
 }
 
 // Books through the plain service. The caller sends the booking to two routers, as a caller does whose first response
@@ -353,7 +353,7 @@
     const std::string key = m_options.label + "-book-" + std::to_string(household) + "-" + std::to_string(slot);
     const json body = bookingBody(household, slot);
     for (int copy = 0; copy < 2; ++copy) {
-        const auto options = callOptions(callerTimeout, http::Reuse::Never);
+        const auto options = callOptions(callerTimeout, http::ConnectionReuse::Never);
         auto request = http::makeRequest("POST", "/v1/ops/book", body.dump(), bookingHeaders(key));
         auto called = co_await m_client.call(pickRouter(household + copy), std::move(request), options);
         auto *reply = std::get_if<http::Reply>(&called);
--- a/emulators/experiment_calls.h
+++ b/emulators/experiment_calls.h
@@ -14,7 +14,7 @@
 // GCC 12 cannot keep braced initializer lists in a coroutine frame, so JSON bodies, headers and options are made in
 // plain functions.
 
-inline http::CallOptions callOptions(Clock::duration timeout, http::Reuse reuse)
+inline http::CallOptions callOptions(Clock::duration timeout, http::ConnectionReuse reuse)
 {
     return {Clock::now() + timeout, reuse, nullptr};
 }
--- a/emulators/experiment_events.cpp
+++ b/emulators/experiment_events.cpp
@@ -31,7 +31,7 @@
 
 Task<json> Experiment::getJson(http::Address from, std::string path)
 {
-    const auto options = callOptions(probeTimeout, http::Reuse::KeptOrAgain);
+    const auto options = callOptions(probeTimeout, http::ConnectionReuse::KeepAliveWithRetry);
     auto called = co_await m_client.call(std::move(from), http::makeRequest("GET", path), options);
     auto *reply = std::get_if<http::Reply>(&called);
     json parsed = reply ? json::parse(reply->body, nullptr, false) : json();
@@ -40,7 +40,7 @@
 
 Task<bool> Experiment::sendJson(http::Address to, std::string method, std::string path, json body)
 {
-    const auto options = callOptions(probeTimeout, http::Reuse::Never);
+    const auto options = callOptions(probeTimeout, http::ConnectionReuse::Never);
     auto called = co_await m_client.call(std::move(to), http::makeRequest(method, path, body.dump()), options);
     auto *reply = std::get_if<http::Reply>(&called);
     co_return reply && reply->status == 200;
--- a/emulators/load_main.cpp
+++ b/emulators/load_main.cpp
@@ -27,9 +27,9 @@
 std::vector<http::Address> parseRouters(const std::string &list, Findings &findings)
 {
     std::vector<http::Address> out;
-    for (const auto &item : text::items(list)) {
+    for (const auto &item : text::splitList(list)) {
         const auto colon = item.rfind(':');
-        const auto port = colon == std::string::npos ? std::nullopt : text::number<uint16_t>(item.substr(colon + 1));
+        const auto port = colon == std::string::npos ? std::nullopt : text::parseNumber<uint16_t>(item.substr(colon + 1));
         if (!port) {
             findings.add("--routers", "'" + item + "' is not HOST:PORT");
             continue;
@@ -102,7 +102,7 @@
 {
     // Options override the settings file, whose name is an option itself: the command line is parsed once for that
     // name, and again after the file was read.
-    cli::Common common;
+    cli::CommonOptions common;
     std::vector<std::string> rest;
     experiment::Options o;
     char *routers = nullptr;
--- a/emulators/local_object_api.cpp
+++ b/emulators/local_object_api.cpp
@@ -87,7 +87,7 @@
     co_return withEpoch(m_store.since(from, {kind}));
 }
 
-Task<bool> LocalObjectApi::answers(std::string)
+Task<bool> LocalObjectApi::isReachable(std::string)
 {
     if (!outage) {
         m_epoch = m_store.epoch();
--- a/emulators/local_object_api.h
+++ b/emulators/local_object_api.h
@@ -21,7 +21,7 @@
     Task<Result<Object>> remove(std::string kind, std::string name, std::optional<uint64_t> ifVersion) override;
     /// Returns at once, even if nothing has changed: timeout and cancellation have no effect.
     Task<Result<WatchBatch>> watch(std::string kind, uint64_t from, Millis timeout, Freshness freshness, http::Cancellation *cancellation) override;
-    Task<bool> answers(std::string kind) override;
+    Task<bool> isReachable(std::string kind) override;
     store::Epoch epoch() const override
     {
         return m_epoch;
--- a/emulators/model/fleet.cpp
+++ b/emulators/model/fleet.cpp
@@ -62,7 +62,7 @@
     , m_rng(static_cast<uint64_t>(scenario.seed))
 {
     m_retryLimits.ratio = scenario.retryRatio;
-    m_retryLimits.reserve = static_cast<double>(scenario.retrySlack) / static_cast<double>(scenario.routers);
+    m_retryLimits.minRetries = static_cast<double>(scenario.retrySlack) / static_cast<double>(scenario.routers);
     for (int64_t i = 0; i < scenario.routers; ++i) {
         m_routers.push_back(std::make_unique<Router>(table));
     }
@@ -124,7 +124,7 @@
     const auto entry = std::find_if(m_endpoints.begin(), m_endpoints.end(), [&](const Endpoint &e) {
         return e.id == id;
     });
-    entry->born = static_cast<int64_t>(now);
+    entry->startedAtMs = static_cast<int64_t>(now);
     schedule(now + listingDelay, [this](Ms at) {
         for (const auto &router : m_routers) {
             router->table.setEndpoints(m_endpoints, clockTime(at));
@@ -279,9 +279,9 @@
 void Fleet::shareLoads(std::size_t router, Ms now)
 {
     const auto domains = static_cast<std::size_t>(m_scenario.failureDomains);
-    const auto reports = m_routers[router]->table.heardSince(clockTime(m_routers[router]->lastShareAt));
+    const auto reports = m_routers[router]->table.reportsReceivedSince(clockTime(m_routers[router]->lastShareAt));
     m_routers[router]->lastShareAt = now;
-    const auto prompts = m_routers[router]->table.takePromptNews(peers::mostPrompts);
+    const auto prompts = m_routers[router]->table.takePromptAnnouncements(peers::maxPrompts);
     std::vector<std::size_t> sameDomain;
     std::vector<std::size_t> otherDomains;
     for (std::size_t i = 0; i < m_routers.size(); ++i) {
@@ -290,16 +290,16 @@
         }
     }
     const auto peerLimit = static_cast<std::size_t>(m_scenario.sharePeers);
-    keepRandomSubset(sameDomain, std::min(peerLimit, peers::ExchangeOptions().mostNearTold));
+    keepRandomSubset(sameDomain, std::min(peerLimit, peers::ExchangeOptions().maxDomainPeersPerRound));
     keepRandomSubset(otherDomains, peerLimit - sameDomain.size());
     sameDomain.insert(sameDomain.end(), otherDomains.begin(), otherDomains.end());
     schedule(now + shareDelay, [this, receivers = std::move(sameDomain), reports, prompts](Ms at) {
         for (const std::size_t peer : receivers) {
             for (const auto &report : reports) {
-                m_routers[peer]->table.toldOf(report);
+                m_routers[peer]->table.mergePeerReport(report);
             }
             for (const auto &prompt : prompts) {
-                m_routers[peer]->table.toldOfPrompt(prompt, clockTime(at));
+                m_routers[peer]->table.mergePeerPrompt(prompt, clockTime(at));
             }
         }
     });
--- a/emulators/model/fleet.h
+++ b/emulators/model/fleet.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "admission.h"
-#include "entry/come_back.h"
 #include "entry/outlier_detector.h"
+#include "entry/retry_after.h"
 #include "entry/retry_policy.h"
 #include "model/engine.h"
 #include "model/outcome.h"
@@ -127,7 +127,7 @@
     std::vector<Endpoint> m_endpoints; ///< as listed in the store
     std::vector<std::unique_ptr<Router>> m_routers;
     std::vector<Source> m_sources;
-    entry::ComeBackOptions m_retryAfterOptions;
+    entry::RetryAfterOptions m_retryAfterOptions;
     limits::RetryLimits m_retryLimits; ///< of one router
     Outcome m_outcome;
 };
--- a/emulators/model/fleet_requests.cpp
+++ b/emulators/model/fleet_requests.cpp
@@ -28,7 +28,7 @@
     callerAttempt->affinity = {key, key};
     const std::string &pool = request->source->kind->pool;
     auto &budgets = m_routers[callerAttempt->router]->budgets;
-    budgets.try_emplace(pool, m_retryLimits).first->second.earn(clockTime(now));
+    budgets.try_emplace(pool, m_retryLimits).first->second.recordRequest(clockTime(now));
     schedule(now + m_scenario.callerMs, [this, callerAttempt](Ms at) {
         tryNextMember(callerAttempt, at);
     });
@@ -61,7 +61,7 @@
         return;
     }
     if (callerAttempt->count.arrivals > 0) {
-        if (!router.budgets.at(pool).spend(at)) {
+        if (!router.budgets.at(pool).tryRetry(at)) {
             router.table.release(*endpoint, at);
             reject(callerAttempt, now);
             return;
@@ -69,10 +69,10 @@
         ++m_outcome.retries;
     }
     callerAttempt->tried.insert(endpoint->id);
-    ++callerAttempt->count.sends;
+    ++callerAttempt->count.attempts;
     std::optional<Endpoint> holder;
     if (!request.parts.empty()) {
-        holder = router.table.beliefOf(callerAttempt->affinity.conversation, *endpoint, at).source;
+        holder = router.table.estimatePrompt(callerAttempt->affinity.conversation, *endpoint, at).source;
     }
     const std::size_t member = indexOfMember(*endpoint);
     schedule(now + oneWayDelay(callerAttempt->router, member), [this, callerAttempt, e = *endpoint, member, holder](Ms reachedAt) {
@@ -138,10 +138,10 @@
             auto &router = *m_routers[callerAttempt->router];
             if (callerAttempt->firstAt < 0) {
                 callerAttempt->firstAt = at;
-                router.table.reported(endpoint.id, load, clockTime(at));
-                router.table.recovered(endpoint.id);
+                router.table.recordLoadReport(endpoint.id, load, clockTime(at));
+                router.table.clearFailures(endpoint.id);
                 if (!callerAttempt->request->parts.empty()) {
-                    router.table.tookPrompt(callerAttempt->affinity.conversation, endpoint, clockTime(at));
+                    router.table.recordPromptHolder(callerAttempt->affinity.conversation, endpoint, clockTime(at));
                 }
             }
             if (done) {
@@ -153,7 +153,7 @@
     if (!member.submit(std::move(memberRequest), now)) {
         const int64_t load = member.reportedLoad(now);
         schedule(now + returnDelay, [this, callerAttempt, endpoint, load](Ms at) {
-            m_routers[callerAttempt->router]->table.reported(endpoint.id, load, clockTime(at));
+            m_routers[callerAttempt->router]->table.recordLoadReport(endpoint.id, load, clockTime(at));
             finishAttempt(callerAttempt, endpoint, entry::AttemptEnd::NotExecuted, at);
         });
         return;
@@ -193,7 +193,7 @@
     callerAttempt->count.runs += entry::mayHaveRun(end) ? 1 : 0;
     if (end == entry::AttemptEnd::Delivered) {
         finish(callerAttempt, true, false, now);
-    } else if (entry::mayTryAgain(callerAttempt->request->source->route, end, callerAttempt->count)) {
+    } else if (entry::mayRetry(callerAttempt->request->source->route, end, callerAttempt->count)) {
         tryNextMember(callerAttempt, now);
     } else if (callerAttempt->count.runs > 0) {
         finish(callerAttempt, false, false, now);
@@ -212,7 +212,7 @@
         return;
     }
     const auto reason = callerAttempt->count.arrivals > 0 ? entry::Rejection::NotExecuted : entry::Rejection::NoEndpoint;
-    const auto wait = entry::comeBackAfter(reason, std::chrono::hours(1), m_retryAfterOptions, m_rng);
+    const auto wait = entry::retryAfterFor(reason, std::chrono::hours(1), m_retryAfterOptions, m_rng);
     const Ms retryDelay = std::min(static_cast<double>(wait.count()), (request.deadline - now) * maxWaitShare);
     --request.callerRetries;
     schedule(now + std::max(0.0, retryDelay) + m_scenario.callerMs, [this, sent = callerAttempt->request](Ms at) {
--- a/emulators/platform_main.cpp
+++ b/emulators/platform_main.cpp
@@ -13,7 +13,7 @@
 
 int main(int argc, const char **argv)
 {
-    cli::Common common;
+    cli::CommonOptions common;
     int port = -1;
     const poptOption own[] = {
         {"port", 'p', POPT_ARG_INT, &port, 0, "listen port (overrides settings)", "PORT"},
--- a/emulators/platform_server.cpp
+++ b/emulators/platform_server.cpp
@@ -100,7 +100,7 @@
         co_return;
     }
     const bool write = ex.request().method() != http::bhttp::verb::get;
-    if (!(write ? m_writes : m_reads).take(Clock::now())) {
+    if (!(write ? m_writes : m_reads).tryTake(Clock::now())) {
         log::event(log::Event::RateLimited, std::string("op=") + (write ? "write" : "read"));
         co_await respond(ex, 429, R"({"error":"rate limited"})", retryAfterHeader());
         co_return;
@@ -162,7 +162,7 @@
         m_changed.notifyAll();
         if (m_faults.loseAnswers > 0) {
             --m_faults.loseAnswers;
-            ex.drop(); // the write took effect; its response is lost
+            ex.abort(); // the write took effect; its response is lost
             co_return;
         }
     }
@@ -183,7 +183,7 @@
     if (kind == vmKind) {
         return Error{403, "the VM list is the platform's"};
     }
-    auto ifVersion = text::number<uint64_t>(ex.query("revision"));
+    auto ifVersion = text::parseNumber<uint64_t>(ex.query("revision"));
     if (method == http::bhttp::verb::delete_) {
         return m_store.remove(kind, name, ifVersion);
     }
@@ -217,18 +217,18 @@
 // Handles a long-polling watch for the changes of a kind after a revision.
 Task<void> PlatformServer::handleWatch(http::Exchange &ex, std::string kind)
 {
-    const uint64_t from = text::number<uint64_t>(ex.query("watch")).value_or(0);
+    const uint64_t from = text::parseNumber<uint64_t>(ex.query("watch")).value_or(0);
     const std::vector<std::string> kinds(1, kind);
-    const auto deadline = Clock::now() + std::min(Millis(text::number<uint64_t>(ex.query("wait_ms")).value_or(1000)), maxWatchTimeout);
-    ex.onCallerGone([this] {
+    const auto deadline = Clock::now() + std::min(Millis(text::parseNumber<uint64_t>(ex.query("wait_ms")).value_or(1000)), maxWatchTimeout);
+    ex.onCallerDisconnect([this] {
         m_changed.notifyAll();
     });
-    while (!m_store.changedSince(from, kinds) && Clock::now() < deadline && !ex.callerGone() && !m_faults.outage) {
+    while (!m_store.changedSince(from, kinds) && Clock::now() < deadline && !ex.callerDisconnected() && !m_faults.outage) {
         co_await m_changed.wait(deadline);
     }
-    ex.onCallerGone({});
+    ex.onCallerDisconnect({});
     if (m_faults.outage) {
-        ex.drop(); // a waiting watch is cut off
+        ex.abort(); // a waiting watch is cut off
         co_return;
     }
     auto result = m_store.since(from, kinds);
--- a/emulators/serve.cpp
+++ b/emulators/serve.cpp
@@ -12,7 +12,7 @@
 // Waits for the stop signal, then for the requests in flight. Returns false if some remain after the grace time.
 Task<bool> stopGracefully(http::Server &server, Millis grace)
 {
-    co_await cli::stopSignal();
+    co_await cli::waitForStopSignal();
     log::event(log::Event::StopRequested, "inflight=" + std::to_string(server.inflight()));
     server.stopAccepting();
     co_return co_await server.waitIdle(grace);
--- a/emulators/soak/callers.cpp
+++ b/emulators/soak/callers.cpp
@@ -53,7 +53,7 @@
 {
     http::CallOptions options;
     options.deadline = Clock::now() + callerTimeout;
-    options.reuse = http::Reuse::Kept;
+    options.reuse = http::ConnectionReuse::KeepAlive;
     const http::Address to{"127.0.0.1", routerPort(router, 4)};
     const std::string sender = senderName(router);
     const auto sentAt = Clock::now();
--- a/emulators/soak_main.cpp
+++ b/emulators/soak_main.cpp
@@ -18,7 +18,7 @@
 int main(int argc, const char **argv)
 {
     std::signal(SIGPIPE, SIG_IGN);
-    cli::Common common;
+    cli::CommonOptions common;
     soak::SoakOptions options;
     int seed = 1;
     int seconds = 8;
--- a/include/yucca/observed_load.h
+++ b/include/yucca/observed_load.h
@@ -20,16 +20,16 @@
 class ObservedLoad
 {
 public:
-    void placed()
+    void requestStarted()
     {
         ++m_ownInflight;
     }
-    void finished()
+    void requestFinished()
     {
         m_ownInflight = m_ownInflight > 0 ? m_ownInflight - 1 : 0;
     }
     /// Records the member's reported load at the given time. A report older than the last one is ignored.
-    void reported(int64_t load, TimePoint now);
+    void recordLoadReport(int64_t load, TimePoint now);
     /// The number of requests that this router has in flight on the member.
     int64_t ownInflight() const
     {
@@ -67,7 +67,7 @@
                 MissingReport missingReport);
 
 /// A member's rank in a key's rendezvous order. The member with the highest rank is the key's home.
-uint64_t rankOf(const std::string &memberId, uint64_t key);
+uint64_t rendezvousScoreOf(const std::string &memberId, uint64_t key);
 
 /// The members of a pool with their observed loads. Base class of the load-based policies.
 class ObservedMembers
@@ -78,9 +78,9 @@
     {
         return m_ids;
     }
-    void placed(std::size_t member, TimePoint now);
-    void finished(std::size_t member, TimePoint now);
-    void reported(std::size_t member, int64_t load, TimePoint now);
+    void requestStarted(std::size_t member, TimePoint now);
+    void requestFinished(std::size_t member, TimePoint now);
+    void recordLoadReport(std::size_t member, int64_t load, TimePoint now);
     /// Sets the number of the service's endpoints that are not members and receive no requests. They count toward the
     /// mean load of the service.
     void setIdleCount(std::size_t endpoints)
--- a/include/yucca/placement.h
+++ b/include/yucca/placement.h
@@ -33,9 +33,9 @@
     {
         p.pick(a, usable, now)
         } -> std::same_as<std::optional<std::size_t>>;
-    p.placed(m, now);
-    p.finished(m, now);
-    p.reported(m, load, now);
+    p.requestStarted(m, now);
+    p.requestFinished(m, now);
+    p.recordLoadReport(m, load, now);
 };
 
 /// Estimates the frequency of the most frequent keys: a space-saving sketch (Metwally, Agrawal and El Abbadi, 2005)
@@ -98,10 +98,10 @@
         return m_ids;
     }
     std::optional<std::size_t> pick(const Affinity &affinity, const Usable &usable, TimePoint now);
-    void placed(std::size_t member, TimePoint now);
-    void finished(std::size_t member, TimePoint now);
+    void requestStarted(std::size_t member, TimePoint now);
+    void requestFinished(std::size_t member, TimePoint now);
     /// Records a member's own report of its requests in flight from all routers.
-    void reported(std::size_t member, int64_t load, TimePoint now);
+    void recordLoadReport(std::size_t member, int64_t load, TimePoint now);
 
     /// The size of a shared key's replica set in a pool of n members.
     std::size_t replicas(uint64_t sharedKey, std::size_t n);
@@ -135,10 +135,10 @@
 
 /// Consistent hashing with bounded loads on the conversation key. The bound covers this router's own requests only.
 /// Serves as a baseline in comparisons.
-class OwnBound
+class BoundedLoadHashing
 {
 public:
-    OwnBound(int virtualNodes = 64, double loadFactor = 1.25);
+    BoundedLoadHashing(int virtualNodes = 64, double loadFactor = 1.25);
 
     void setMembers(std::vector<std::string> ids);
     const std::vector<std::string> &members() const
@@ -146,9 +146,9 @@
         return m_ring.members();
     }
     std::optional<std::size_t> pick(const Affinity &affinity, const Usable &usable, TimePoint now);
-    void placed(std::size_t member, TimePoint now);
-    void finished(std::size_t member, TimePoint now);
-    void reported(std::size_t, int64_t, TimePoint)
+    void requestStarted(std::size_t member, TimePoint now);
+    void requestFinished(std::size_t member, TimePoint now);
+    void recordLoadReport(std::size_t, int64_t, TimePoint)
     {
     }
 
@@ -215,13 +215,13 @@
         return m_ids;
     }
     std::optional<std::size_t> pick(const Affinity &affinity, const Usable &usable, TimePoint now);
-    void placed(std::size_t, TimePoint)
+    void requestStarted(std::size_t, TimePoint)
     {
     }
-    void finished(std::size_t, TimePoint)
+    void requestFinished(std::size_t, TimePoint)
     {
     }
-    void reported(std::size_t, int64_t, TimePoint)
+    void recordLoadReport(std::size_t, int64_t, TimePoint)
     {
     }
 
@@ -231,7 +231,7 @@
 };
 
 static_assert(Policy<PrefixAffinity>);
-static_assert(Policy<OwnBound>);
+static_assert(Policy<BoundedLoadHashing>);
 static_assert(Policy<LeastLoaded>);
 static_assert(Policy<PromptHome>);
 static_assert(Policy<RoundRobin>);
--- a/include/yucca/types.h
+++ b/include/yucca/types.h
@@ -101,24 +101,24 @@
     std::string zone = {}; ///< failure domain
     /// Start time of this incarnation in Unix milliseconds, or 0 if unknown. A restarted endpoint keeps its id but
     /// loses all of its state.
-    int64_t born = 0;
+    int64_t startedAtMs = 0;
     std::string region = {}; ///< region of the failure domain; empty if unknown
     /// Remaining cold period in milliseconds when the entry was read. An endpoint is cold, and can take only a few
     /// requests, after a start or after an evacuation of its failure domain.
-    int64_t coldMs = 0;
+    int64_t coldRemainingMs = 0;
     bool operator==(const Endpoint &) const = default;
 };
 
 /// True if both records describe the same incarnation of the same endpoint.
 inline bool sameIncarnation(const Endpoint &a, const Endpoint &b)
 {
-    return a.id == b.id && a.born == b.born;
+    return a.id == b.id && a.startedAtMs == b.startedAtMs;
 }
 
 /// A map key that identifies one incarnation of an endpoint.
 inline std::string incarnationKey(const Endpoint &e)
 {
-    return e.id + "#" + std::to_string(e.born);
+    return e.id + "#" + std::to_string(e.startedAtMs);
 }
 
 } // namespace yucca
--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -20,7 +20,7 @@
     m_last = std::max(m_last, now);
 }
 
-bool TokenBucket::take(Clock::time_point now)
+bool TokenBucket::tryTake(Clock::time_point now)
 {
     refill(now);
     if (m_tokens < 1.0) {
@@ -30,7 +30,7 @@
     return true;
 }
 
-Clock::duration TokenBucket::wait(Clock::time_point now) const
+Clock::duration TokenBucket::timeUntilToken(Clock::time_point now) const
 {
     const double elapsed = std::chrono::duration<double>(now - m_last).count();
     const double missingTokens = std::max(0.0, 1.0 - m_tokens) - m_rate * std::max(0.0, elapsed);
@@ -56,13 +56,13 @@
     return slice;
 }
 
-void RetryBudget::earn(Clock::time_point now)
+void RetryBudget::recordRequest(Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
     ++sliceAt(now).requests;
 }
 
-bool RetryBudget::spend(Clock::time_point now)
+bool RetryBudget::tryRetry(Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
     auto &current = sliceAt(now);
@@ -73,7 +73,7 @@
         requests += age < slicesPerWindow ? slice.requests : 0;
         retries += age <= slicesPerWindow ? slice.retries : 0;
     }
-    if (static_cast<double>(retries + 1) > m_limits.ratio * static_cast<double>(requests) + m_limits.reserve) {
+    if (static_cast<double>(retries + 1) > m_limits.ratio * static_cast<double>(requests) + m_limits.minRetries) {
         return false;
     }
     ++current.retries;
@@ -89,7 +89,7 @@
     m_limits = limits;
 }
 
-Verdict Admission::admit(const std::string &workspace, const Limits &limits, Clock::time_point now, Clock::duration &retryAfter)
+AdmissionResult Admission::admit(const std::string &workspace, const Limits &limits, Clock::time_point now, Clock::duration &retryAfter)
 {
     // The burst equals one second of requests.
     const double rate = static_cast<double>(limits.requestsPerS);
@@ -104,17 +104,17 @@
     }
     if (state.inflight >= limits.maxInflight) {
         retryAfter = std::chrono::seconds(1);
-        return Verdict::AtCapacity;
+        return AdmissionResult::AtCapacity;
     }
-    if (!state.bucket.take(now)) {
-        retryAfter = state.bucket.wait(now);
-        return Verdict::RateLimited;
+    if (!state.bucket.tryTake(now)) {
+        retryAfter = state.bucket.timeUntilToken(now);
+        return AdmissionResult::RateLimited;
     }
     ++state.inflight;
-    return Verdict::Admitted;
+    return AdmissionResult::Admitted;
 }
 
-void Admission::finished(const std::string &workspace)
+void Admission::release(const std::string &workspace)
 {
     std::lock_guard lock(m_mutex);
     auto it = m_workspaces.find(workspace);
@@ -131,7 +131,7 @@
 
 AdmissionSlot::~AdmissionSlot()
 {
-    m_admission.finished(m_workspace);
+    m_admission.release(m_workspace);
 }
 
 } // namespace yucca::limits
--- a/src/admission.h
+++ b/src/admission.h
@@ -25,9 +25,9 @@
 public:
     TokenBucket(double ratePerS, double burst, Clock::time_point now);
     /// Takes one token. Returns false if less than one token is left.
-    bool take(Clock::time_point now);
+    bool tryTake(Clock::time_point now);
     /// The time until a token becomes available.
-    Clock::duration wait(Clock::time_point now) const;
+    Clock::duration timeUntilToken(Clock::time_point now) const;
     /// Changes the rate and the burst. The bucket keeps its tokens, up to the new burst.
     void setRate(double ratePerS, double burst);
     double rate() const
@@ -47,7 +47,7 @@
 /// The limits of a RetryBudget.
 struct RetryLimits {
     double ratio = 0.2; ///< retries allowed per first attempt
-    double reserve = 2; ///< retries allowed in addition, so that a service with few requests can retry at all
+    double minRetries = 2; ///< retries allowed in addition, so that a service with few requests can retry at all
     Millis window{10000}; ///< sliding window over which attempts and retries are counted
 };
 
@@ -62,9 +62,9 @@
     {
     }
     /// Counts a first attempt.
-    void earn(Clock::time_point now);
+    void recordRequest(Clock::time_point now);
     /// Counts one retry and returns true, or returns false if the budget is exhausted.
-    bool spend(Clock::time_point now);
+    bool tryRetry(Clock::time_point now);
     /// Replaces the limits. The counts stay unless the window changes.
     void setLimits(RetryLimits limits);
 
@@ -87,14 +87,14 @@
 };
 
 /// The result of an admission check.
-enum class Verdict {
+enum class AdmissionResult {
     Admitted,
     RateLimited, ///< the workspace exceeds its requests per second
     AtCapacity, ///< the workspace has reached its limit of requests in flight
 };
 
-inline constexpr NameTable<Verdict, 3> verdictNames{
-    {{Verdict::Admitted, "admitted"}, {Verdict::RateLimited, "rate_limited"}, {Verdict::AtCapacity, "at_capacity"}}};
+inline constexpr NameTable<AdmissionResult, 3> admissionResultNames{
+    {{AdmissionResult::Admitted, "admitted"}, {AdmissionResult::RateLimited, "rate_limited"}, {AdmissionResult::AtCapacity, "at_capacity"}}};
 
 /// Admits requests under the limits of their workspace. Thread-safe.
 class Admission
@@ -102,9 +102,9 @@
 public:
     /// Admits one request, or returns the limit that it exceeds and sets retryAfter to the time to wait before
     /// a retry.
-    Verdict admit(const std::string &workspace, const Limits &limits, Clock::time_point now, Clock::duration &retryAfter);
+    AdmissionResult admit(const std::string &workspace, const Limits &limits, Clock::time_point now, Clock::duration &retryAfter);
     /// Releases the slot of an admitted request.
-    void finished(const std::string &workspace);
+    void release(const std::string &workspace);
 
 private:
     struct State {
--- a/src/duties.cpp
+++ b/src/background_tasks.cpp
@@ -1,4 +1,4 @@
-#include "duties.h"
+#include "background_tasks.h"
 
 #include "connect_probe.h"
 #include "idempotency.h"
@@ -8,7 +8,7 @@
 #include <ctime>
 #include <random>
 
-namespace yucca::duties
+namespace yucca::background
 {
 
 namespace
@@ -20,7 +20,7 @@
 constexpr Millis stopPollInterval{100};
 constexpr Millis orderTimeout{2000};
 constexpr std::string_view undrainKind = "undrain"; ///< the only kind of order that is sent to a leaving engine
-constexpr Millis probeStaysOpenFor{100}; ///< a proxy whose server is gone closes a new connection within milliseconds
+constexpr Millis probeOpenTime{100}; ///< a proxy whose server is gone closes a new connection within milliseconds
 
 // Returns the body of an order's HTTP request. A plain function, because GCC 12
 // cannot keep braced initializer lists in a coroutine frame.
@@ -30,26 +30,26 @@
 }
 
 // Maps the HTTP status of an engine's answer to an order. After a 5xx the engine may have acted.
-orders::Ack ackForStatus(unsigned status)
+orders::SendResult resultForStatus(unsigned status)
 {
     if (status == 200) {
-        return orders::Ack::Applied;
+        return orders::SendResult::Applied;
     }
     if (status == 409) {
-        return orders::Ack::StaleFence;
+        return orders::SendResult::StaleFence;
     }
-    return status >= 500 ? orders::Ack::Unknown : orders::Ack::NotSent;
+    return status >= 500 ? orders::SendResult::Unknown : orders::SendResult::NotSent;
 }
 
 // Applies what the headers of an engine's answer say about the engine: a request to back off, or that it is leaving.
 void applyEngineHeaders(router::RoutingTable &table, const Endpoint &engine, const http::Reply &reply)
 {
-    const auto backOff = http::backOffAskedFor(reply.status, reply.header("Retry-After"));
+    const auto backOff = http::requestedBackOff(reply.status, reply.header("Retry-After"));
     if (backOff && table.backOff(engine, Clock::now() + *backOff)) {
         log::Line{log::Event::EndpointBacksOff}.add("endpoint", engine.id).add("service", engine.pool).add("for_ms", backOff->count());
     }
-    const auto leaving = router::leavingSaidIn(reply.header(router::drainingHeader));
-    if (leaving && table.noteLeaving(engine, *leaving, Clock::now())) {
+    const auto leaving = router::parseDraining(reply.header(router::drainingHeader));
+    if (leaving && table.recordLeaving(engine, *leaving, Clock::now())) {
         log::Line{log::Event::Draining}.add("endpoint", engine.id).add("draining", *leaving);
     }
 }
@@ -72,12 +72,12 @@
 
 } // namespace
 
-bool expired(const nlohmann::json &record, int64_t nowS, int64_t retentionS)
+bool isExpired(const nlohmann::json &record, int64_t nowS, int64_t retentionS)
 {
     return record.value("state", "") != "started" && record.contains("at") && nowS - record.value("at", nowS) > retentionS;
 }
 
-std::vector<orders::Order> wantedOrders(const catalogue::Snapshot &snapshot)
+std::vector<orders::Order> desiredOrders(const catalogue::Snapshot &snapshot)
 {
     std::vector<orders::Order> out;
     const auto evacuated = snapshot.evacuated();
@@ -95,8 +95,8 @@
     return out;
 }
 
-Duties::Duties(const settings::RouterSettings &settings, platform::ObjectApi &api, const router::Control &control, orders::Sender sender,
-               quarantine::RequestQuarantine &quarantine)
+BackgroundTasks::BackgroundTasks(const settings::RouterSettings &settings, platform::ObjectApi &api, const router::Control &control, orders::Sender sender,
+                                 quarantine::RequestQuarantine &quarantine)
     : m_settings(settings)
     , m_api(api)
     , m_control(control)
@@ -106,7 +106,7 @@
 {
 }
 
-Task<void> Duties::run()
+Task<void> BackgroundTasks::run()
 {
     while (!m_stopping) {
         co_await step();
@@ -118,9 +118,9 @@
     co_await m_lease.release();
 }
 
-Task<void> Duties::step()
+Task<void> BackgroundTasks::step()
 {
-    co_await m_dispatcher.restoreLost();
+    co_await m_dispatcher.rewriteLostRecords();
     const bool holder = co_await m_lease.acquireOrRenew();
     if (holder != m_wasHolder) {
         log::event(holder ? log::Event::LeaseTaken : log::Event::LeaseLost, "lease=" + std::string(leaseName) + " fence=" + std::to_string(m_lease.fence()));
@@ -137,7 +137,7 @@
 
 // Removes the expired records of one page that starts at a random name: record
 // names begin with a hash, so over time every record is reached.
-Task<void> Duties::sweepPage()
+Task<void> BackgroundTasks::sweepPage()
 {
     auto listed = co_await m_api.list(idempotency::recordKind, randomRecordName(), platform::Freshness::Current);
     if (!ok(listed)) {
@@ -149,7 +149,7 @@
         if (removed >= maxDeletesPerSweep) {
             break;
         }
-        if (expired(record.value, now, m_settings.recordRetentionS)) {
+        if (isExpired(record.value, now, m_settings.recordRetentionS)) {
             auto deleted = co_await m_api.remove(record.kind, record.name, record.version);
             removed += ok(deleted) ? 1 : 0;
         }
@@ -159,12 +159,12 @@
     }
 }
 
-// Sends the wanted orders that are not settled yet, while the lease is held.
-Task<void> Duties::sendOrders()
+// Sends the desired orders that are not settled yet, while the lease is held.
+Task<void> BackgroundTasks::sendOrders()
 {
     const auto snapshot = m_control.snapshot();
     std::set<std::string> stillSettled; // only orders that are still wanted, so that the set does not grow
-    for (const auto &order : wantedOrders(*snapshot)) {
+    for (const auto &order : desiredOrders(*snapshot)) {
         const std::string key = order.engine + "/" + order.id;
         if (m_settledOrders.count(key)) {
             stillSettled.insert(key);
@@ -187,19 +187,19 @@
     m_settledOrders = std::move(stillSettled);
 }
 
-orders::Sender httpSender(http::Client &client, const router::Control &control, router::RoutingTable &table, std::string holder)
+orders::Sender makeHttpOrderSender(http::Client &client, const router::Control &control, router::RoutingTable &table, std::string holder)
 {
-    return [&client, &control, &table, holder](orders::Order order, uint64_t fence) -> Task<orders::Ack> {
+    return [&client, &control, &table, holder](orders::Order order, uint64_t fence) -> Task<orders::SendResult> {
         const auto snapshot = control.snapshot();
         const auto found = snapshot->endpoints.find(order.engine);
         if (found == snapshot->endpoints.end()) {
-            co_return orders::Ack::NotSent;
+            co_return orders::SendResult::NotSent;
         }
         const Endpoint engine = found->second;
-        const auto standing = table.standingOf(engine);
-        const bool skipLeaving = standing == router::Standing::Leaving && order.kind != undrainKind;
+        const auto listingState = table.listingState(engine);
+        const bool skipLeaving = listingState == router::ListingState::Leaving && order.kind != undrainKind;
         if (skipLeaving || table.backsOff(engine, Clock::now())) {
-            co_return orders::Ack::NotSent;
+            co_return orders::SendResult::NotSent;
         }
         const nlohmann::json body = orderBody(order, fence, holder);
         http::CallOptions options;
@@ -210,15 +210,15 @@
         auto called = co_await client.call(address, http::makeRequest("POST", "/v1/orders", body.dump()), options);
         if (auto *error = std::get_if<http::CallError>(&called)) {
             if (error->stage == http::CallStage::Connect) {
-                co_return orders::Ack::NotSent;
+                co_return orders::SendResult::NotSent;
             }
-            const auto probe = co_await http::probeConnection(address, orderTimeout, probeStaysOpenFor);
-            co_return probe == http::Probe::Refused ? orders::Ack::EngineEnded : orders::Ack::Unknown;
+            const auto probe = co_await http::probeConnection(address, orderTimeout, probeOpenTime);
+            co_return probe == http::Probe::Refused ? orders::SendResult::EngineCrashed : orders::SendResult::Unknown;
         }
         const auto &reply = std::get<http::Reply>(called);
         applyEngineHeaders(table, engine, reply);
-        co_return ackForStatus(reply.status);
+        co_return resultForStatus(reply.status);
     };
 }
 
-} // namespace yucca::duties
+} // namespace yucca::background
--- a/src/duties.h
+++ b/src/background_tasks.h
@@ -15,25 +15,25 @@
 #include <set>
 #include <string>
 
-namespace yucca::duties
+namespace yucca::background
 {
 
 inline constexpr const char *leaseName = "duties";
 
 /// True when an idempotency record is older than retentionS seconds at the Unix
 /// time nowS. Records without an outcome are kept, because an operator settles them.
-bool expired(const nlohmann::json &record, int64_t nowS, int64_t retentionS);
+bool isExpired(const nlohmann::json &record, int64_t nowS, int64_t retentionS);
 
 /// Returns the orders that make every live engine load the model of its pool's
 /// class of work. Engines in evacuated failure domains get none.
-std::vector<orders::Order> wantedOrders(const catalogue::Snapshot &snapshot);
+std::vector<orders::Order> desiredOrders(const catalogue::Snapshot &snapshot);
 
 /// Runs the background tasks of one router.
-class Duties
+class BackgroundTasks
 {
 public:
-    Duties(const settings::RouterSettings &settings, platform::ObjectApi &api, const router::Control &control, orders::Sender sender,
-           quarantine::RequestQuarantine &quarantine);
+    BackgroundTasks(const settings::RouterSettings &settings, platform::ObjectApi &api, const router::Control &control, orders::Sender sender,
+                    quarantine::RequestQuarantine &quarantine);
 
     /// Calls step() several times per lease duration until stop() is called, then releases the lease.
     Task<void> run();
@@ -63,6 +63,6 @@
 /// Returns a sender that posts orders to the engines over HTTP as the given
 /// holder. Engines that asked to back off or that are leaving get no orders,
 /// except "undrain" when leaving, just as they get no requests.
-orders::Sender httpSender(http::Client &client, const router::Control &control, router::RoutingTable &table, std::string holder);
+orders::Sender makeHttpOrderSender(http::Client &client, const router::Control &control, router::RoutingTable &table, std::string holder);
 
-} // namespace yucca::duties
+} // namespace yucca::background
--- a/src/change_exchange.cpp
+++ b/src/change_exchange.cpp
@@ -51,11 +51,11 @@
 {
 }
 
-Task<void> ChangeServer::answer(http::Exchange &ex)
+Task<void> ChangeServer::handle(http::Exchange &ex)
 {
     const std::string path = ex.path();
-    const auto since = text::number<uint64_t>(ex.query("since"));
-    const auto epoch = text::number<store::Epoch>(ex.query("epoch"));
+    const auto since = text::parseNumber<uint64_t>(ex.query("since"));
+    const auto epoch = text::parseNumber<store::Epoch>(ex.query("epoch"));
     const auto replica = std::find_if(m_replicas.begin(), m_replicas.end(), [&path](const SharedReplica *r) {
         return path == std::string(changesPath) + r->kind();
     });
@@ -84,7 +84,7 @@
     http::CallOptions options;
     options.deadline = Clock::now() + (limit == TransferLimit::Large ? m_options.fetchLargeTimeout : m_options.fetchTimeout);
     options.connectTimeout = m_options.connectTimeout;
-    options.reuse = http::Reuse::KeptOrAgain;
+    options.reuse = http::ConnectionReuse::KeepAliveWithRetry;
     const std::string target = std::string(changesPath) + kind + "?since=" + std::to_string(since.revision) + "&epoch=" + std::to_string(since.epoch)
         + (limit == TransferLimit::Large ? "&whole=1" : "");
     auto request = http::makeRequest("GET", target);
--- a/src/change_exchange.h
+++ b/src/change_exchange.h
@@ -29,7 +29,7 @@
     explicit ChangeServer(std::vector<SharedReplica *> replicas, ChangeExchangeOptions options = {});
     /// Answers one request: GET /changes/KIND?since=REVISION&epoch=EPOCH, with &whole=1 from a router that the store refuses. Replies
     /// 404 for an unknown kind or a malformed query, 503 if too many answers are being sent, and the codes of SharedReplica::changesSince().
-    Task<void> answer(http::Exchange &ex);
+    Task<void> handle(http::Exchange &ex);
 
 private:
     std::vector<SharedReplica *> m_replicas;
--- a/src/cli.cpp
+++ b/src/cli.cpp
@@ -8,7 +8,7 @@
 namespace yucca::cli
 {
 
-std::optional<int> parse(const char *program, int argc, const char **argv, const poptOption *own, Common &common, std::vector<std::string> &rest,
+std::optional<int> parse(const char *program, int argc, const char **argv, const poptOption *own, CommonOptions &common, std::vector<std::string> &rest,
                          const char *usage)
 {
     const poptOption commonTable[] = {
@@ -45,7 +45,7 @@
     return std::nullopt;
 }
 
-Task<void> stopSignal()
+Task<void> waitForStopSignal()
 {
     asio::signal_set signals(co_await asio::this_coro::executor, SIGTERM, SIGINT);
     boost::system::error_code ec;
--- a/src/cli.h
+++ b/src/cli.h
@@ -24,7 +24,7 @@
 };
 
 /// Options that all programs accept.
-struct Common {
+struct CommonOptions {
     char *config = nullptr; ///< --config FILE
     int version = 0; ///< --version
 };
@@ -32,13 +32,13 @@
 /// Parses argv with popt. Returns an exit code if the program must exit now
 /// (version, usage error); otherwise appends the positional arguments to rest and
 /// returns nothing. The help option prints the options and exits.
-std::optional<int> parse(const char *program, int argc, const char **argv, const poptOption *own, Common &common, std::vector<std::string> &rest,
+std::optional<int> parse(const char *program, int argc, const char **argv, const poptOption *own, CommonOptions &common, std::vector<std::string> &rest,
                          const char *usage = nullptr);
 
 /// Loads and parses the settings file named by --config, or an empty document
 /// without one. If there are findings, prints all of them to stderr and returns
 /// nothing.
-template <typename T> std::optional<T> loadSettings(const Common &common, const std::function<T(const nlohmann::json &, Findings &)> &parseFn)
+template <typename T> std::optional<T> loadSettings(const CommonOptions &common, const std::function<T(const nlohmann::json &, Findings &)> &parseFn)
 {
     Findings findings;
     nlohmann::json doc = common.config ? settings::loadFile(common.config, findings) : nlohmann::json::object();
@@ -51,6 +51,6 @@
 }
 
 /// Waits for SIGTERM or SIGINT.
-Task<void> stopSignal();
+Task<void> waitForStopSignal();
 
 } // namespace yucca::cli
--- a/src/cold_limit.cpp
+++ b/src/cold_limit.cpp
@@ -32,7 +32,7 @@
 void ColdLimiter::setRouters(const std::string &self, const std::vector<std::string> &others)
 {
     const auto selfHash = ring::hash(self);
-    auto hashes = placement::hashesOf(others);
+    auto hashes = placement::memberHashes(others);
     std::sort(hashes.begin(), hashes.end());
     if (m_listed && m_self == selfHash && m_others == hashes) {
         return;
@@ -51,10 +51,10 @@
     }
 }
 
-Millis ColdLimiter::coldFor(const std::string &service) const
+Millis ColdLimiter::coldDuration(const std::string &service) const
 {
     const auto it = m_allowances.find(service);
-    return it == m_allowances.end() ? Millis(0) : it->second.coldFor;
+    return it == m_allowances.end() ? Millis(0) : it->second.coldDuration;
 }
 
 // The owners are the first routers in the endpoint's rendezvous order. All routers that see the same fleet compute the
@@ -62,9 +62,9 @@
 bool ColdLimiter::owns(const std::string &endpoint, std::size_t owners) const
 {
     const auto key = ring::hash(endpoint);
-    const auto own = placement::rank(m_self, key);
+    const auto own = placement::rendezvousScore(m_self, key);
     const auto before = std::count_if(m_others.begin(), m_others.end(), [&](uint64_t other) {
-        return placement::rank(other, key) > own;
+        return placement::rendezvousScore(other, key) > own;
     });
     return static_cast<std::size_t>(before) < owners;
 }
--- a/src/cold_limit.h
+++ b/src/cold_limit.h
@@ -14,7 +14,7 @@
 
 /// The load that a cold endpoint of a service can take.
 struct ColdAllowance {
-    Millis coldFor{0}; ///< how long an endpoint is cold after its start
+    Millis coldDuration{0}; ///< how long an endpoint is cold after its start
     double perSecond = 0; ///< requests per second that a cold endpoint sustains, from all routers
     double maxPerSecond = 0; ///< hard limit on requests in any one second, from all routers
     bool operator==(const ColdAllowance &) const = default;
@@ -47,7 +47,7 @@
         return m_allowances.count(service) > 0;
     }
     /// How long an endpoint of a service is cold after a start, or 0 if the service has no limit.
-    Millis coldFor(const std::string &service) const;
+    Millis coldDuration(const std::string &service) const;
     /// The number of requests that this router may still send to a cold endpoint now.
     std::size_t available(const std::string &service, const std::string &endpoint, Clock::time_point now);
     /// The number of requests that this router may send to the endpoint in any one second.
--- a/src/ctl_main.cpp
+++ b/src/ctl_main.cpp
@@ -242,7 +242,7 @@
         return printError(std::get<Error>(current));
     }
     const auto version = std::get<platform::Object>(current).version;
-    const auto r = runBlocking(api.put(quarantine::recordKind, content, quarantine::releaseBy(author.name, author.reason), version));
+    const auto r = runBlocking(api.put(quarantine::recordKind, content, quarantine::makeReleaseRecord(author.name, author.reason), version));
     if (!ok(r)) {
         return printError(std::get<Error>(r));
     }
@@ -252,16 +252,16 @@
 
 int explainRequest(const std::vector<std::string> &args)
 {
-    explain::Reader reader(args[1]);
+    explain::TimelineBuilder builder(args[1]);
     for (std::size_t i = 2; i < args.size(); ++i) {
         std::ifstream log(args[i]);
         if (!log) {
             fprintf(stderr, "yucca-ctl: cannot read %s\n", args[i].c_str());
             return cli::ExitFailure;
         }
-        reader.read(log, args[i]);
+        builder.read(log, args[i]);
     }
-    const auto timeline = reader.finish();
+    const auto timeline = builder.finish();
     printf("%s", explain::format(timeline).c_str());
     return timeline.entries.empty() ? cli::ExitFailure : cli::ExitOk;
 }
@@ -270,7 +270,7 @@
 
 int main(int argc, const char **argv)
 {
-    cli::Common common;
+    cli::CommonOptions common;
     char *host = nullptr;
     int port = -1;
     char *author = nullptr;
--- a/src/endpoint_refusals.cpp
+++ b/src/endpoint_refusals.cpp
@@ -5,7 +5,7 @@
 namespace yucca::router
 {
 
-bool EndpointRefusals::noteLeaving(const Endpoint &endpoint, bool leaving, Clock::time_point now)
+bool EndpointRefusals::recordLeaving(const Endpoint &endpoint, bool leaving, Clock::time_point now)
 {
     const std::string key = incarnationKey(endpoint);
     return leaving ? m_leaving.insert_or_assign(key, now).second : m_leaving.erase(key) > 0;
@@ -19,7 +19,7 @@
     return first || longer;
 }
 
-std::optional<Clock::time_point> EndpointRefusals::backsOffUntil(const std::string &id, Clock::time_point now) const
+std::optional<Clock::time_point> EndpointRefusals::backOffEnd(const std::string &id, Clock::time_point now) const
 {
     const auto it = m_backOffUntil.find(id);
     return it != m_backOffUntil.end() && it->second > now ? std::optional(it->second) : std::nullopt;
--- a/src/endpoint_refusals.h
+++ b/src/endpoint_refusals.h
@@ -30,7 +30,7 @@
     }
 
     /// Records whether this incarnation of an endpoint is leaving. Returns true if the state changed.
-    bool noteLeaving(const Endpoint &endpoint, bool leaving, Clock::time_point now);
+    bool recordLeaving(const Endpoint &endpoint, bool leaving, Clock::time_point now);
     /// True if this incarnation announced that it is leaving.
     bool isLeaving(const Endpoint &endpoint) const
     {
@@ -40,11 +40,11 @@
     /// endpoint is also left alone for the rest of that time. Returns true if this starts or extends the back-off.
     bool backOff(const std::string &id, Clock::time_point until);
     /// The end of the endpoint's back-off, or nothing if the endpoint accepts requests.
-    std::optional<Clock::time_point> backsOffUntil(const std::string &id, Clock::time_point now) const;
+    std::optional<Clock::time_point> backOffEnd(const std::string &id, Clock::time_point now) const;
     /// True if no request may be sent to the endpoint now.
     bool refuses(const Endpoint &endpoint, Clock::time_point now) const
     {
-        return isLeaving(endpoint) || backsOffUntil(endpoint.id, now);
+        return isLeaving(endpoint) || backOffEnd(endpoint.id, now);
     }
     /// Drops expired back-offs, and leaving incarnations that have not been listed for the retention time.
     void dropExpired(const std::vector<Endpoint> &listed, Clock::time_point now);
--- a/src/entry/configuration.h
+++ b/src/entry/configuration.h
@@ -64,7 +64,7 @@
     std::string healthPath;
     int64_t maxConnections = 100; ///< maximum number of connections to one endpoint from all its callers
     std::optional<EngineTraits> engine; ///< absent: a service without model engines
-    Millis coldFor{0}; ///< how long an endpoint is cold after its start; 0: cold endpoints are not limited
+    Millis coldDuration{0}; ///< how long an endpoint is cold after its start; 0: cold endpoints are not limited
     double coldPerSecond = 0; ///< requests per second that a cold endpoint can handle
 };
 
--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -27,10 +27,10 @@
         .add("routes", static_cast<int64_t>(configuration.routes.size()))
         .add("services", static_cast<int64_t>(configuration.services.size()))
         .add("keys", static_cast<int64_t>(configuration.workspaceOfKey.size()));
-    put(std::move(configuration));
+    applyUnchecked(std::move(configuration));
 }
 
-void Published::put(Configuration configuration)
+void Published::applyUnchecked(Configuration configuration)
 {
     configuration.index();
     applyColdAllowances(configuration);
@@ -42,9 +42,9 @@
 {
     std::map<std::string, limits::ColdAllowance> allowances;
     for (const auto &[name, service] : configuration.services) {
-        if (service.coldFor > Millis(0)) {
+        if (service.coldDuration > Millis(0)) {
             const double most = service.coldPerSecond * m_options.coldOvershoot + m_options.coldSlack;
-            allowances[name] = {service.coldFor, service.coldPerSecond, most};
+            allowances[name] = {service.coldDuration, service.coldPerSecond, most};
         }
     }
     m_table.setColdAllowances(std::move(allowances));
@@ -129,17 +129,17 @@
 void Published::setEndpoint(const Endpoint &endpoint)
 {
     logEndpointChange(endpoint);
-    m_lapsed.erase(endpoint.id);
+    m_expired.erase(endpoint.id);
     const bool excluded = mustStayExcluded(endpoint, Clock::now());
     auto &held = m_endpoints[endpoint.id];
     held = endpoint;
     held.state = excluded ? EndpointState::Leaving : endpoint.state;
     const auto region = m_options.regions.find(endpoint.zone);
     held.region = region == m_options.regions.end() ? "" : region->second;
-    if (endpoint.coldMs > 0) {
-        m_coldUntil.emplace_back(endpoint.id, Clock::now() + Millis(endpoint.coldMs));
+    if (endpoint.coldRemainingMs > 0) {
+        m_coldUntil.emplace_back(endpoint.id, Clock::now() + Millis(endpoint.coldRemainingMs));
     }
-    held.coldMs = 0; // the time is counted in m_coldUntil from here on
+    held.coldRemainingMs = 0; // the time is counted in m_coldUntil from here on
 }
 
 // The endpoints of the first listing get a single log line: a line for each costs a small VM a
@@ -167,8 +167,8 @@
     if (it == m_endpoints.end()) {
         return;
     }
-    if (it->second.state == EndpointState::Live && Clock::now() < m_keepLapsedUntil) {
-        m_lapsed.insert(id);
+    if (it->second.state == EndpointState::Live && Clock::now() < m_retainExpiredUntil) {
+        m_expired.insert(id);
         return;
     }
     discardEndpoint(id);
@@ -184,18 +184,18 @@
         logChange(log::Event::EndpointLeft, it->second);
     }
     recordRemoval(it->second);
-    m_lapsed.erase(id);
+    m_expired.erase(id);
     m_reappeared.erase(id);
     m_endpoints.erase(it);
 }
 
 // Returns true for an incarnation that is listed as live but must get no requests: it was known to
-// be leaving, or it had been removed and may be listed only because the store was restored from an
-// older copy.
+// be leaving, or it had been removed and may be listed only because the store was restored from a
+// backup.
 bool Published::mustStayExcluded(const Endpoint &endpoint, Clock::time_point now)
 {
     const bool restoring = now < m_restoringUntil;
-    const bool final = endpoint.born != 0; // a leaving incarnation never becomes live again; without a start time, the endpoint may have restarted
+    const bool final = endpoint.startedAtMs != 0; // a leaving incarnation never becomes live again; without a start time, the endpoint may have restarted
     const auto held = m_endpoints.find(endpoint.id);
     if (endpoint.state != EndpointState::Live) {
         m_reappeared.erase(endpoint.id);
@@ -230,23 +230,23 @@
 
 void Published::onEndpointsRestored(Clock::time_point now)
 {
-    m_keepLapsedUntil = std::max(m_keepLapsedUntil, now + lapsedKeptFor);
-    m_restoringUntil = now + restoreSettles;
+    m_retainExpiredUntil = std::max(m_retainExpiredUntil, now + expiredEntryRetention);
+    m_restoringUntil = now + restoreSettleTime;
 }
 
 void Published::onEvacuationsRestored(Clock::time_point now)
 {
-    m_keepEvacuatedUntil = now + restoreSettles;
+    m_keepEvacuatedUntil = now + restoreSettleTime;
 }
 
 void Published::onStoreRecovered(Clock::duration away, Clock::time_point now)
 {
-    if (away >= shortestLapse) {
-        m_keepLapsedUntil = now + lapsedKeptFor;
+    if (away >= minOutageForExpiry) {
+        m_retainExpiredUntil = now + expiredEntryRetention;
     }
 }
 
-void Published::dropLapsed(Clock::time_point now)
+void Published::endExpiredRetention(Clock::time_point now)
 {
     if (now >= m_restoringUntil) {
         admitReappeared();
@@ -254,12 +254,12 @@
     if (now >= m_keepEvacuatedUntil) {
         dropRetainedEvacuations();
     }
-    if (m_lapsed.empty() || now < m_keepLapsedUntil) {
+    if (m_expired.empty() || now < m_retainExpiredUntil) {
         return;
     }
-    const auto lapsed = std::move(m_lapsed);
-    m_lapsed.clear();
-    for (const auto &id : lapsed) {
+    const auto expired = std::move(m_expired);
+    m_expired.clear();
+    for (const auto &id : expired) {
         discardEndpoint(id);
     }
     publishEndpoints();
@@ -306,7 +306,7 @@
     }));
     m_table.setEndpoints(endpoints);
     for (const auto &[id, until] : std::exchange(m_coldUntil, {})) {
-        m_table.noteCold(id, until);
+        m_table.recordCold(id, until);
     }
 }
 
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -80,7 +80,7 @@
     /// Applies a configuration; one that is not newer than the configuration in force is ignored.
     void apply(Configuration configuration);
     /// Applies a configuration without a version check; the caller is responsible for the order.
-    void put(Configuration configuration);
+    void applyUnchecked(Configuration configuration);
     /// Replaces all endpoints with a complete listing.
     void replaceEndpoints(std::map<std::string, Endpoint> endpoints);
     /// Adds the endpoints of the first pages of the initial listing, so that requests can be served
@@ -99,29 +99,29 @@
     /// accept have expired in it although they are alive, and their entries return within about two
     /// seconds. Until then, missing endpoints are retained.
     void onStoreRecovered(Clock::duration away, Clock::time_point now);
-    /// Called when the store has been restored from an older copy. Until the entries have been
+    /// Called when the store has been restored from a backup. Until the entries have been
     /// written again, endpoints that it lacks are retained, and endpoints that are known to be gone
     /// stay excluded.
     void onEndpointsRestored(Clock::time_point now);
-    /// Called when the store has been restored from an older copy: evacuations that it lacks stay
+    /// Called when the store has been restored from a backup: evacuations that it lacks stay
     /// in force until they have been written again.
     void onEvacuationsRestored(Clock::time_point now);
     /// Ends the retention periods that have passed: removes endpoints that are still missing,
     /// readmits endpoints that are still listed after a restore, and ends evacuations that are
     /// still missing.
-    void dropLapsed(Clock::time_point now);
+    void endExpiredRetention(Clock::time_point now);
     /// Returns when the store last answered.
     Clock::time_point lastContact() const
     {
         return m_lastContact.load();
     }
-    void noteContact(Clock::time_point now)
+    void recordContact(Clock::time_point now)
     {
         m_lastContact = now;
     }
     /// Records that the store confirmed to another router, at the given time, that this router's
     /// data is complete.
-    void noteConfirmed(Clock::time_point at)
+    void recordConfirmation(Clock::time_point at)
     {
         m_lastContact = std::max(m_lastContact.load(), at);
     }
@@ -155,8 +155,8 @@
     std::atomic<bool> m_endpointsUsable{false};
     std::atomic<bool> m_endpointsKnown{false};
     std::map<std::string, Endpoint> m_endpoints;
-    std::set<std::string> m_lapsed; ///< ids in m_endpoints that are no longer listed but retained for now
-    Clock::time_point m_keepLapsedUntil{};
+    std::set<std::string> m_expired; ///< ids in m_endpoints that are no longer listed but retained for now
+    Clock::time_point m_retainExpiredUntil{};
     std::map<std::string, RemovedIncarnation> m_removed; ///< by incarnation key
     Clock::time_point m_restoringUntil{}; ///< until then, lost entries are written again and outdated ones expire
     std::set<std::string> m_reappeared; ///< ids in m_endpoints that were removed before the restore; excluded until they are known to be alive
@@ -169,17 +169,17 @@
 /// How long endpoints that expired during a store outage are retained after it. Their entries
 /// return within about two seconds; an endpoint that left during the outage must get no work two
 /// seconds after that is known.
-inline constexpr Millis lapsedKeptFor{1800};
+inline constexpr Millis expiredEntryRetention{1800};
 /// Entries don't expire during an outage shorter than this: they live for three heartbeats of 1.2 s
 /// each.
-inline constexpr Millis shortestLapse{2500};
+inline constexpr Millis minOutageForExpiry{2500};
 
-/// Time after a restore of the store from an older copy until its content is reliable: writers
+/// Time after a restore of the store from a backup until its content is reliable: writers
 /// write lost entries again within about two seconds, and the entry of a dead endpoint expires
 /// after three heartbeats of 1.2 s each.
-inline constexpr Millis restoreSettles{6000};
-/// How long removed incarnations are stored: a store that is restored from an older copy may list
-/// them again. Copies are seconds old.
+inline constexpr Millis restoreSettleTime{6000};
+/// How long removed incarnations are stored: a store that is restored from a backup may list
+/// them again. Backups are seconds old.
 inline constexpr Millis removedRetention{std::chrono::minutes(10)};
 
 inline constexpr Millis storePollInterval{1000}; ///< a change must be in force 2 s after it is made, even if a watch has silently failed
@@ -218,7 +218,7 @@
         for (auto *replica : {shared.configuration, shared.endpoints, shared.evacuations}) {
             if (replica) {
                 replica->onConfirmed = [this](Clock::time_point at) {
-                    m_published.noteConfirmed(at);
+                    m_published.recordConfirmation(at);
                 };
             }
         }
@@ -261,7 +261,7 @@
             if (answered && now - m_published.lastContact() < (shared(now) ? sharedSilenceTimeout : storePollInterval)) {
                 continue; // a watch was answered recently
             }
-            const bool answers = co_await m_api.answers(C::configurationKind);
+            const bool answers = co_await m_api.isReachable(C::configurationKind);
             if (answers && !answered) {
                 m_configurations.restartWatch();
                 m_endpoints.restartWatch();
@@ -281,27 +281,27 @@
 private:
     bool shared(Clock::time_point now) const
     {
-        return m_shared.endpoints && m_shared.endpoints->shared(now);
+        return m_shared.endpoints && m_shared.endpoints->hasActivePeers(now);
     }
     // Each call has a cost, also one to an unavailable store: a few routers poll it and inform the
     // others.
     bool polledByOthers(Clock::time_point now) const
     {
-        return shared(now) && m_shared.endpoints->rank(now) >= mostProbing;
+        return shared(now) && m_shared.endpoints->rank(now) >= maxProbingRouters;
     }
 
     struct ConfigurationSink {
         Published &published;
-        void listed(const platform::Listing &listing, platform::Freshness)
+        void onListing(const platform::Listing &listing, platform::Freshness)
         {
             for (const auto &object : listing.items) {
-                changed(object, false);
+                onChange(object, false);
             }
         }
-        void listedSoFar(const platform::Listing &)
+        void onPartialListing(const platform::Listing &)
         {
         }
-        void changed(const platform::Object &object, bool deleted)
+        void onChange(const platform::Object &object, bool deleted)
         {
             if (deleted || object.name != C::configurationName) {
                 return; // if the configuration is deleted, the last one stays in force
@@ -314,28 +314,28 @@
                 log::Line{log::Event::ConfigurationRejected}.add("problems", findings.report());
             }
         }
-        void batchEnded()
+        void onBatchEnd()
         {
-            published.noteContact(Clock::now());
+            published.recordContact(Clock::now());
         }
-        void regained(Clock::duration)
+        void onStoreRecovered(Clock::duration)
         {
         }
-        void restored()
+        void onStoreRestored()
         {
         }
     };
     struct EndpointSink {
         Published &published;
         std::set<std::string> reportedEntries{}; ///< names of entries that were malformed when last read
-        void listed(const platform::Listing &listing, platform::Freshness freshness)
+        void onListing(const platform::Listing &listing, platform::Freshness freshness)
         {
             if (freshness == platform::Freshness::Current) {
-                published.noteContact(Clock::now());
+                published.recordContact(Clock::now());
             }
             published.replaceEndpoints(parsed(listing));
         }
-        void listedSoFar(const platform::Listing &listing)
+        void onPartialListing(const platform::Listing &listing)
         {
             published.applyPartialListing(parsed(listing));
         }
@@ -351,7 +351,7 @@
             }
             return endpoints;
         }
-        void changed(const platform::Object &object, bool deleted)
+        void onChange(const platform::Object &object, bool deleted)
         {
             if (deleted) {
                 reportedEntries.erase(object.name);
@@ -362,16 +362,16 @@
                 published.discardEndpoint(object.name);
             }
         }
-        void batchEnded()
+        void onBatchEnd()
         {
-            published.noteContact(Clock::now());
+            published.recordContact(Clock::now());
             published.publishEndpoints();
         }
-        void regained(Clock::duration away)
+        void onStoreRecovered(Clock::duration away)
         {
             published.onStoreRecovered(away, Clock::now());
         }
-        void restored()
+        void onStoreRestored()
         {
             published.onEndpointsRestored(Clock::now());
         }
@@ -394,7 +394,7 @@
     // malformed order is still in force.
     struct EvacuationSink {
         Published &published;
-        void listed(const platform::Listing &listing, platform::Freshness)
+        void onListing(const platform::Listing &listing, platform::Freshness)
         {
             std::set<std::string> domains;
             for (const auto &object : listing.items) {
@@ -402,21 +402,21 @@
             }
             published.replaceEvacuated(std::move(domains));
         }
-        void listedSoFar(const platform::Listing &)
+        void onPartialListing(const platform::Listing &)
         {
         }
-        void changed(const platform::Object &object, bool deleted)
+        void onChange(const platform::Object &object, bool deleted)
         {
             published.setEvacuated(object.name, !deleted);
         }
-        void batchEnded()
+        void onBatchEnd()
         {
-            published.noteContact(Clock::now());
+            published.recordContact(Clock::now());
         }
-        void regained(Clock::duration)
+        void onStoreRecovered(Clock::duration)
         {
         }
-        void restored()
+        void onStoreRestored()
         {
             published.onEvacuationsRestored(Clock::now());
         }
@@ -425,8 +425,8 @@
     FollowerOptions followerOptions(replica::SharedReplica *shared)
     {
         FollowerOptions options;
-        options.reads = &m_reads;
-        options.shared = shared;
+        options.readPolicy = &m_reads;
+        options.sharedReplica = shared;
         return options;
     }
 
--- a/src/entry/entry_metrics.cpp
+++ b/src/entry/entry_metrics.cpp
@@ -6,8 +6,7 @@
 namespace
 {
 
-/// In seconds. The latency targets of the deployments are 0.3 to 2 s, their longest timeout is 12
-/// s.
+/// In seconds. The deployments' latency targets are 0.3 to 2 s, their longest timeout is 12 s.
 constexpr std::array<double, 13> bucketEdges{0, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 4, 8, 12};
 
 std::string number(double value)
--- a/src/entry/entry_settings.cpp
+++ b/src/entry/entry_settings.cpp
@@ -76,7 +76,7 @@
     limits::RetryLimits limits;
     limits.ratio = settings.retryRatio;
     const double routerCount = routers > 0 ? static_cast<double>(routers) : assumedRouters;
-    limits.reserve = std::max(minRetryReserve, settings.retrySlack / routerCount);
+    limits.minRetries = std::max(minRetryReserve, settings.retrySlack / routerCount);
     limits.window = Millis(static_cast<int64_t>(settings.retryWindowS * 1000));
     return limits;
 }
--- a/src/entry/gateway.h
+++ b/src/entry/gateway.h
@@ -4,14 +4,14 @@
 #pragma once
 
 #include "admission.h"
-#include "entry/come_back.h"
 #include "entry/control.h"
 #include "entry/entry_metrics.h"
 #include "entry/entry_settings.h"
-#include "entry/line_budget.h"
+#include "entry/log_rate_limiter.h"
 #include "entry/outlier_detector.h"
 #include "entry/placement_rules.h"
 #include "entry/request_profile.h"
+#include "entry/retry_after.h"
 #include "entry/retry_policy.h"
 #include "http_client.h"
 #include "http_server.h"
@@ -38,7 +38,7 @@
 /// The operations that differ between the wire interfaces of callers and endpoints.
 template <typename D>
 concept Dialect = requires(D d, const http::Exchange &ex, const ConfigurationPtr &configuration, Clock::time_point now, const RequestProfile &profile,
-                           const ForwardOptions &options, const http::Response &response, const Endpoint &endpoint, Rejection why, Millis comeBack)
+                           const ForwardOptions &options, const http::Response &response, const Endpoint &endpoint, Rejection why, Millis retryAfter)
 {
     {
         d.identify(ex, configuration, now)
@@ -47,28 +47,28 @@
         d.requestId(ex)
         } -> std::same_as<std::string>;
     {
-        d.forwarded(ex, profile, options)
+        d.makeForwardedRequest(ex, profile, options)
         } -> std::same_as<http::Request>;
     {
         d.readHead(response, profile)
-        } -> std::same_as<AnswerHead>;
+        } -> std::same_as<ResponseHead>;
     {
-        d.answerHeaders(response, profile, endpoint)
+        d.responseHeaders(response, profile, endpoint)
         } -> std::same_as<http::Headers>;
     {
         d.replayHeaders(profile)
         } -> std::same_as<http::Headers>;
     {
-        d.rejection(why, comeBack)
-        } -> std::same_as<RejectionAnswer>;
+        d.rejection(why, retryAfter)
+        } -> std::same_as<RejectionResponse>;
     // True when a connection may carry the response to another request before the awaited one.
     {
-        D::answersMayBeLate
+        D::mayReceiveLateResponses
         } -> std::convertible_to<bool>;
     // True when a stream is complete only after its terminal event; otherwise the HTTP framing
     // marks its end.
     {
-        D::streamsEndWithMark
+        D::streamsHaveTerminalEvent
         } -> std::convertible_to<bool>;
 };
 
@@ -78,21 +78,21 @@
     /// After this time without a response from the store, the router may lack the newest routes and
     /// API keys: one watch of 2 s, its margin and the transfer time of a change. Zero: the
     /// configuration always counts as current.
-    Millis outOfDateAfter{3000};
+    Millis maxConfigurationAge{3000};
     Millis connectTimeout{300}; ///< an endpoint answers a SYN in about 2 ms; one whose backlog is full drops SYNs for seconds
     double responseTimeoutFactor = 1.0; ///< multiple of a route's target latency after which a repeatable request is sent to another endpoint
-    double gapPatience = 2.0; ///< multiple of a route's event gap target after which a resumable stream moves to another endpoint
-    ComeBackOptions comeBack;
+    double eventGapTimeoutFactor = 2.0; ///< multiple of a route's event gap target after which a resumable stream moves to another endpoint
+    RetryAfterOptions retryAfter;
     std::size_t routersPerConnectionCap = 16; ///< number of routers that share the connection limit of an endpoint
     /// If set, non-repeatable requests always use a new connection, at the cost of one connection
     /// for each request. The peer may close a keep-alive connection while a request is in transit,
     /// and such a request can't be sent again.
-    bool newConnectionForSingleRuns = false;
+    bool newConnectionForNonRepeatable = false;
     /// How long non-repeatable requests to a service use new connections only, after one of its
     /// keep-alive connections broke during a request: its endpoints have dropped their idle
     /// connections, so further ones will break.
     Millis keepAliveDistrustTime{10000};
-    std::size_t mostKept = 32; ///< maximum number of keep-alive connections to an endpoint
+    std::size_t maxIdleConnections = 32; ///< maximum number of keep-alive connections to an endpoint
     std::size_t maxResponseBytes = 16 * 1024 * 1024; ///< maximum body size of a response that is relayed as a whole
     /// How long an endpoint is watched for a crash after one of its responses broke: its entry in
     /// the store expires after three heartbeats of 1.2 s, and the router learns of that up to a
@@ -100,7 +100,7 @@
     Millis crashDetectionTimeout{6000};
     Millis crashPollInterval{100};
     Millis probeInterval{500}; ///< minimum interval between probes of one endpoint: connections are expensive, and many responses may break at once
-    Millis probeStaysOpenFor{100}; ///< a proxy whose server is gone closes a new connection within milliseconds
+    Millis probeOpenTime{100}; ///< a proxy whose server is gone closes a new connection within milliseconds
 };
 
 /// Objects that a gateway shares with the rest of its process; the gateway doesn't own them.
@@ -166,7 +166,7 @@
     /// The state of one request over all its attempts.
     struct RequestState {
         RequestProfile profile;
-        router::Constraints constraints;
+        router::PlacementConstraints constraints;
         std::string service;
         AttemptCount count;
         std::optional<idempotency::Claim> claim; ///< of the request's idempotency key
@@ -178,13 +178,13 @@
         bool timedOut = false;
         bool endpointRestarted = false; ///< the endpoint of the current attempt has restarted
         std::string lastEndpoint;
-        router::PromptBelief belief; ///< what the last endpoint likely holds of the prompt
+        router::PromptEstimate promptEstimate; ///< what the last endpoint likely holds of the prompt
         std::optional<Endpoint> home; ///< of the prompt, at the time of the last attempt
         unsigned lastStatus = 0; ///< status of the last endpoint's own response
-        AnswerHead lastHead; ///< head of the last attempt's response; default values if none arrived
+        ResponseHead lastHead; ///< head of the last attempt's response; default values if none arrived
         int64_t lastLoad = -1; ///< load that the last endpoint reported; -1: not reported
         std::optional<EngineFailure> failure;
-        std::optional<router::Obstacle> obstacle; ///< the reason if no endpoint could take the request
+        std::optional<router::NoEndpointReason> noEndpointReason; ///< the reason if no endpoint could take the request
         Clock::time_point firstByte{};
     };
 
@@ -203,22 +203,22 @@
     Task<bool> claimKey(http::Exchange &ex, RequestState &state);
     Task<void> settle(idempotency::Claim claim, nlohmann::json record);
     Task<void> releaseClaim(RequestState &state);
-    Task<void> reject(http::Exchange &ex, const std::string &id, Rejection why, std::optional<Millis> comeBack = std::nullopt);
+    Task<void> reject(http::Exchange &ex, const std::string &id, Rejection why, std::optional<Millis> retryAfter = std::nullopt);
     Task<void> attempt(http::Exchange &ex, RequestState &state);
-    Task<AttemptEnd> attemptAt(http::Exchange &ex, RequestState &state, const Endpoint &endpoint, http::Reuse reuse, bool &staleConnection);
+    Task<AttemptEnd> attemptAt(http::Exchange &ex, RequestState &state, const Endpoint &endpoint, http::ConnectionReuse reuse, bool &staleConnection);
     Task<AttemptEnd> handleResponse(http::Exchange &ex, RequestState &state, const Endpoint &endpoint, http::Response &response);
-    void applySelfReport(const Endpoint &endpoint, const AnswerHead &head);
-    Task<AttemptEnd> relayBuffered(http::Exchange &ex, RequestState &state, const Endpoint &endpoint, const AnswerHead &head, http::Response &response);
+    void applySelfReport(const Endpoint &endpoint, const ResponseHead &head);
+    Task<AttemptEnd> relayBuffered(http::Exchange &ex, RequestState &state, const Endpoint &endpoint, const ResponseHead &head, http::Response &response);
     Task<AttemptEnd> relayStream(http::Exchange &ex, RequestState &state, const Endpoint &endpoint, http::Response &response);
     Task<void> answerFailure(http::Exchange &ex, RequestState &state);
     Clock::time_point headDeadline(const RequestState &state, Clock::time_point now) const;
     limits::RetryBudget &retryBudgetFor(const std::string &service);
     std::string chooseService(const RequestProfile &profile) const;
-    router::PromptBelief beliefOf(const RequestState &state, const Endpoint &endpoint, Clock::time_point now) const;
+    router::PromptEstimate estimatePrompt(const RequestState &state, const Endpoint &endpoint, Clock::time_point now) const;
     void recordAttempt(const RequestState &state, const Endpoint &endpoint, AttemptEnd end, Clock::time_point began, bool willRetry);
     static RequestEnd requestEndFor(const RequestState &state, AttemptEnd end);
     bool spendRetry(const std::string &service);
-    http::Reuse reuseFor(const RequestState &state, Clock::time_point now) const;
+    http::ConnectionReuse reuseFor(const RequestState &state, Clock::time_point now) const;
     Task<void> closeStaleConnections(const Endpoint &endpoint);
     std::optional<Millis> quarantineRemaining(const RequestProfile &profile, Clock::time_point now) const;
     Task<void> recordBrokenResponse(uint64_t content, Endpoint endpoint);
@@ -271,9 +271,9 @@
         co_return;
     }
     std::optional<limits::AdmissionSlot> slot;
-    const auto comeBack = admitWithinLimits(state.profile, now, slot);
-    if (comeBack) {
-        co_await reject(ex, state.profile.id, Rejection::OverLimits, comeBack);
+    const auto retryAfter = admitWithinLimits(state.profile, now, slot);
+    if (retryAfter) {
+        co_await reject(ex, state.profile.id, Rejection::OverLimits, retryAfter);
         co_return;
     }
     const bool mayRun = co_await claimKey(ex, state);
@@ -282,17 +282,17 @@
     }
     state.service = chooseService(state.profile);
     state.constraints = constraintsOf(state.profile);
-    state.events.startAfter(state.profile.resumeAfter);
-    retryBudgetFor(state.service).earn(now);
-    ex.onCallerGone([&state] {
+    state.events.setLastId(state.profile.resumeAfter);
+    retryBudgetFor(state.service).recordRequest(now);
+    ex.onCallerDisconnect([&state] {
         // A request with a claimed key runs to its end: its caller will ask for the response again
         // with the same key.
         if (!state.claim) {
-            state.cancellation.fire();
+            state.cancellation.cancel();
         }
     });
     co_await attempt(ex, state);
-    ex.onCallerGone({});
+    ex.onCallerDisconnect({});
 }
 
 // Tries endpoints one after the other, within the limits on attempts, the deadline and the retry
@@ -302,7 +302,7 @@
     const Route &route = *state.profile.route;
     for (;;) {
         const auto now = Clock::now();
-        if (now >= state.profile.answerBy) {
+        if (now >= state.profile.responseDeadline) {
             state.timedOut = true;
             break;
         }
@@ -311,56 +311,56 @@
         }
         const auto endpoint = m_table.acquire(state.service, state.profile.affinity, state.tried, now, state.constraints);
         if (!endpoint) {
-            state.obstacle = m_table.obstacle(state.service, state.tried, now, state.constraints);
+            state.noEndpointReason = m_table.noEndpointReason(state.service, state.tried, now, state.constraints);
             break;
         }
-        const router::PlacedRequest placed(m_table, *endpoint);
+        const router::AcquiredEndpoint acquired(m_table, *endpoint);
         if (state.count.arrivals > 0 && !spendRetry(state.service)) {
             break;
         }
         state.lastEndpoint = endpoint->id;
         state.home = sharesPrompt(state.profile.prompt) ? m_table.homeOf(state.service, state.profile.affinity.conversation) : std::nullopt;
         state.tried.insert(endpoint->id);
-        ++state.count.sends;
+        ++state.count.attempts;
         m_metrics.resumptions += state.headSent ? 1 : 0;
         bool staleConnection = false;
         state.lastHead = {};
         co_await closeStaleConnections(*endpoint);
         m_attempts.insert_or_assign(&state, *endpoint);
         AttemptEnd end = co_await attemptAt(ex, state, *endpoint, reuseFor(state, now), staleConnection);
-        if (staleConnection && !state.cancellation.fired() && !ex.callerGone()) {
+        if (staleConnection && !state.cancellation.isCancelled() && !ex.callerDisconnected()) {
             co_await recordBrokenResponse(contentKey(state.profile), *endpoint); // must precede a second send, which hides how the first one ended
         }
         state.sendLost = state.sendLost || staleConnection;
-        const bool mayRepeat = staleConnection && repeatable(route) && !state.cancellation.fired() && !quarantineRemaining(state.profile, Clock::now());
-        if (mayRepeat && m_table.acquireAgain(*endpoint, Clock::now()) && spendRetry(state.service)) {
+        const bool mayRepeat = staleConnection && repeatable(route) && !state.cancellation.isCancelled() && !quarantineRemaining(state.profile, Clock::now());
+        if (mayRepeat && m_table.acquireForResend(*endpoint, Clock::now()) && spendRetry(state.service)) {
             // The keep-alive connection was closed during the request; the endpoint itself may be
             // healthy.
-            end = co_await attemptAt(ex, state, *endpoint, http::Reuse::Never, staleConnection);
+            end = co_await attemptAt(ex, state, *endpoint, http::ConnectionReuse::Never, staleConnection);
         }
         m_attempts.erase(&state);
-        if (state.endpointRestarted && !ex.callerGone()) {
+        if (state.endpointRestarted && !ex.callerDisconnected()) {
             state.cancellation = http::Cancellation(); // only the attempt was cancelled, not the request
             state.endpointRestarted = false;
         }
         state.count.runs += mayHaveRun(end) ? 1 : 0;
-        if ((end == AttemptEnd::Broken || end == AttemptEnd::Silent) && !state.cancellation.fired() && !ex.callerGone()) {
+        if ((end == AttemptEnd::Broken || end == AttemptEnd::Silent) && !state.cancellation.isCancelled() && !ex.callerDisconnected()) {
             co_await recordBrokenResponse(contentKey(state.profile), *endpoint);
         }
-        if (state.cancellation.fired() || ex.callerGone()) {
+        if (state.cancellation.isCancelled() || ex.callerDisconnected()) {
             if (end != AttemptEnd::Delivered) {
                 co_await releaseClaim(state);
             }
             end = AttemptEnd::CallerGone;
         }
-        const bool willRetry = mayTryAgain(route, end, state.count);
+        const bool willRetry = mayRetry(route, end, state.count);
         recordAttempt(state, *endpoint, end, now, willRetry);
         if (end == AttemptEnd::Delivered || end == AttemptEnd::CallerGone) {
             recordRequest(state, requestEndFor(state, end), state.lastStatus);
             co_return;
         }
         if (!willRetry) {
-            state.timedOut = Clock::now() >= state.profile.answerBy;
+            state.timedOut = Clock::now() >= state.profile.responseDeadline;
             break;
         }
     }
@@ -373,7 +373,7 @@
     co_await releaseClaim(state);
     if (state.headSent) {
         recordRequest(state, RequestEnd::Cut, 0);
-        ex.drop(); // the stream must not look complete to the caller
+        ex.abort(); // the stream must not look complete to the caller
         co_return;
     }
     if (state.failure) {
@@ -383,32 +383,32 @@
     }
     const auto now = Clock::now();
     const auto quarantineLeft = quarantineRemaining(state.profile, now);
-    const auto backOffEnds = m_table.backOffEnds(state.service, now, state.constraints);
+    const auto earliestBackOffEnd = m_table.earliestBackOffEnd(state.service, now, state.constraints);
     Rejection why = Rejection::NoEndpoint;
-    std::optional<Millis> comeBack;
+    std::optional<Millis> retryAfter;
     if (state.count.runs > 0 || state.sendLost) {
         why = state.timedOut ? Rejection::TimedOut : Rejection::AnswerLost;
     } else if (quarantineLeft) {
         why = Rejection::Quarantined;
-        comeBack = quarantineLeft;
-    } else if (backOffEnds) {
+        retryAfter = quarantineLeft;
+    } else if (earliestBackOffEnd) {
         why = Rejection::BackingOff;
         // If the back-off ends after the deadline, only another router can help: its requests may
         // be accepted there.
-        comeBack = *backOffEnds < state.profile.deadline ? std::optional(std::chrono::ceil<Millis>(*backOffEnds - now)) : std::nullopt;
+        retryAfter = *earliestBackOffEnd < state.profile.deadline ? std::optional(std::chrono::ceil<Millis>(*earliestBackOffEnd - now)) : std::nullopt;
     } else if (state.count.arrivals > 0) {
         why = Rejection::NotExecuted;
-    } else if (state.obstacle) {
-        why = rejectionFor(*state.obstacle);
+    } else if (state.noEndpointReason) {
+        why = rejectionFor(*state.noEndpointReason);
     }
     recordRequest(state, RequestEnd::GivenUp, statusOf(why));
-    co_await reject(ex, state.profile.id, why, comeBack);
+    co_await reject(ex, state.profile.id, why, retryAfter);
 }
 
 } // namespace yucca::entry
 
-#include "entry/gateway_account.h"
 #include "entry/gateway_admit.h"
 #include "entry/gateway_attempt.h"
-#include "entry/gateway_endings.h"
+#include "entry/gateway_crashes.h"
 #include "entry/gateway_place.h"
+#include "entry/gateway_statistics.h"
--- a/src/entry/gateway_admit.h
+++ b/src/entry/gateway_admit.h
@@ -30,7 +30,7 @@
 
 template <Dialect D> bool Gateway<D>::configurationMayBeStale(Clock::time_point now) const
 {
-    return m_options.outOfDateAfter > Millis(0) && now - m_published.lastContact() > m_options.outOfDateAfter;
+    return m_options.maxConfigurationAge > Millis(0) && now - m_published.lastContact() > m_options.maxConfigurationAge;
 }
 
 // Counts a request against the limits of its workspace for the lifetime of the slot. When a limit
@@ -42,8 +42,8 @@
         return std::nullopt;
     }
     Clock::duration wait{};
-    const auto verdict = m_admission.admit(profile.workspace, *profile.limits, now, wait);
-    if (verdict != limits::Verdict::Admitted) {
+    const auto result = m_admission.admit(profile.workspace, *profile.limits, now, wait);
+    if (result != limits::AdmissionResult::Admitted) {
         return std::chrono::ceil<Millis>(wait);
     }
     slot.emplace(m_admission, profile.workspace);
@@ -117,10 +117,10 @@
 
 // Answers a request with a rejection instead of an endpoint's response. Without an explicit wait,
 // the Retry-After value is derived from the reason.
-template <Dialect D> Task<void> Gateway<D>::reject(http::Exchange &ex, const std::string &id, Rejection why, std::optional<Millis> comeBack)
+template <Dialect D> Task<void> Gateway<D>::reject(http::Exchange &ex, const std::string &id, Rejection why, std::optional<Millis> retryAfter)
 {
     m_metrics.rejected(why);
-    const auto wait = comeBack ? *comeBack : comeBackAfter(why, Clock::now() - m_startedAt, m_options.comeBack, m_random);
+    const auto wait = retryAfter ? *retryAfter : retryAfterFor(why, Clock::now() - m_startedAt, m_options.retryAfter, m_random);
     auto answer = m_dialect.rejection(why, wait);
     if (m_logLimiter.take(true, Clock::now())) {
         const auto configuration = m_published.configuration();
--- a/src/entry/gateway_attempt.h
+++ b/src/entry/gateway_attempt.h
@@ -15,7 +15,7 @@
 template <Dialect D> Clock::time_point Gateway<D>::headDeadline(const RequestState &state, Clock::time_point now) const
 {
     const Route &route = *state.profile.route;
-    const auto end = state.profile.answerBy;
+    const auto end = state.profile.responseDeadline;
     if (!repeatable(route) || state.count.runs + 1 >= route.maxAttempts) {
         return end;
     }
@@ -25,14 +25,14 @@
 
 // Selects whether a request may use a keep-alive connection. If the peer has closed or dropped that
 // connection, a request that may run only once is lost.
-template <Dialect D> http::Reuse Gateway<D>::reuseFor(const RequestState &state, Clock::time_point now) const
+template <Dialect D> http::ConnectionReuse Gateway<D>::reuseFor(const RequestState &state, Clock::time_point now) const
 {
     if (repeatable(*state.profile.route)) {
-        return http::Reuse::Kept;
+        return http::ConnectionReuse::KeepAlive;
     }
     const auto broke = m_keepAliveBrokeAt.find(state.service);
     const bool distrusted = broke != m_keepAliveBrokeAt.end() && now - broke->second < m_options.keepAliveDistrustTime;
-    return m_options.newConnectionForSingleRuns || distrusted ? http::Reuse::Never : http::Reuse::Kept;
+    return m_options.newConnectionForNonRepeatable || distrusted ? http::ConnectionReuse::Never : http::ConnectionReuse::KeepAlive;
 }
 
 // Closes the keep-alive connections to an earlier incarnation of an endpoint: they lead to a
@@ -40,10 +40,10 @@
 template <Dialect D> Task<void> Gateway<D>::closeStaleConnections(const Endpoint &endpoint)
 {
     const auto ex = co_await asio::this_coro::executor;
-    const auto [it, first] = m_incarnationStart.try_emplace(endpoint.id, endpoint.born);
-    if (!first && it->second != endpoint.born) {
-        it->second = endpoint.born;
-        m_client.closeKept(asio::query(ex, asio::execution::context), {endpoint.host, endpoint.port});
+    const auto [it, first] = m_incarnationStart.try_emplace(endpoint.id, endpoint.startedAtMs);
+    if (!first && it->second != endpoint.startedAtMs) {
+        it->second = endpoint.startedAtMs;
+        m_client.closeIdleConnections(asio::query(ex, asio::execution::context), {endpoint.host, endpoint.port});
     }
     if (m_incarnationStart.size() > maxTrackedIncarnations) {
         m_incarnationStart.clear(); // costs at most one stale connection for each endpoint
@@ -54,14 +54,14 @@
 {
     std::vector<RequestState *> ended;
     for (const auto &[state, endpoint] : m_attempts) {
-        if (!m_table.isCurrent(endpoint)) {
+        if (!m_table.isCurrentIncarnation(endpoint)) {
             ended.push_back(state);
         }
     }
     for (auto *state : ended) {
         if (m_attempts.count(state)) { // cancelling one attempt may have ended another
             state->endpointRestarted = true;
-            state->cancellation.fire();
+            state->cancellation.cancel();
         }
     }
 }
@@ -69,7 +69,7 @@
 // Sends the request to one endpoint and relays its response. Sets staleConnection if a keep-alive
 // connection broke before any byte of the response arrived.
 template <Dialect D>
-Task<AttemptEnd> Gateway<D>::attemptAt(http::Exchange &ex, RequestState &state, const Endpoint &endpoint, http::Reuse reuse, bool &staleConnection)
+Task<AttemptEnd> Gateway<D>::attemptAt(http::Exchange &ex, RequestState &state, const Endpoint &endpoint, http::ConnectionReuse reuse, bool &staleConnection)
 {
     const auto now = Clock::now();
     const auto *service = state.profile.configuration->service(state.service);
@@ -79,11 +79,11 @@
     options.cancellation = &state.cancellation;
     options.connectTimeout = m_options.connectTimeout;
     const std::size_t share = service ? static_cast<std::size_t>(service->maxConnections) / m_options.routersPerConnectionCap : 1;
-    options.mostKept = std::clamp<std::size_t>(share, 2, m_options.mostKept);
-    const auto left = std::chrono::duration_cast<Millis>(state.profile.answerBy - now);
-    state.belief = beliefOf(state, endpoint, now);
-    ForwardOptions forward{endpoint, left, state.events.lastId(), state.belief.source};
-    auto request = m_dialect.forwarded(ex, state.profile, forward);
+    options.maxIdleConnections = std::clamp<std::size_t>(share, 2, m_options.maxIdleConnections);
+    const auto left = std::chrono::duration_cast<Millis>(state.profile.responseDeadline - now);
+    state.promptEstimate = estimatePrompt(state, endpoint, now);
+    ForwardOptions forward{endpoint, left, state.events.lastId(), state.promptEstimate.source};
+    auto request = m_dialect.makeForwardedRequest(ex, state.profile, forward);
     const http::Address address{endpoint.host, endpoint.port};
     staleConnection = false;
     auto opened = co_await m_client.open(address, std::move(request), options);
@@ -94,7 +94,7 @@
         }
         ++state.count.arrivals;
         staleConnection = error->reused && Clock::now() < options.deadline;
-        if (staleConnection && !state.cancellation.fired()) {
+        if (staleConnection && !state.cancellation.isCancelled()) {
             m_keepAliveBrokeAt[state.service] = Clock::now();
         }
         co_return Clock::now() >= options.deadline ? AttemptEnd::Silent : AttemptEnd::Broken;
@@ -106,13 +106,13 @@
 
 // Applies what an endpoint reports about itself, even if it comes with the response to another
 // request.
-template <Dialect D> void Gateway<D>::applySelfReport(const Endpoint &endpoint, const AnswerHead &head)
+template <Dialect D> void Gateway<D>::applySelfReport(const Endpoint &endpoint, const ResponseHead &head)
 {
     if (head.retryAfter && m_table.backOff(endpoint, Clock::now() + *head.retryAfter)) {
         ++m_metrics.backOffs;
         log::Line{log::Event::EndpointBacksOff}.add("endpoint", endpoint.id).add("service", endpoint.pool).add("for_ms", head.retryAfter->count());
     }
-    if (head.leaving && m_table.noteLeaving(endpoint, *head.leaving, Clock::now())) {
+    if (head.leaving && m_table.recordLeaving(endpoint, *head.leaving, Clock::now())) {
         log::Line{log::Event::Draining}.add("endpoint", endpoint.id).add("draining", *head.leaving);
     }
 }
@@ -121,15 +121,15 @@
 // request may precede this one on the connection.
 template <Dialect D> Task<AttemptEnd> Gateway<D>::handleResponse(http::Exchange &ex, RequestState &state, const Endpoint &endpoint, http::Response &response)
 {
-    constexpr int maxForeignResponses = D::answersMayBeLate ? 3 : 0;
-    AnswerHead head = m_dialect.readHead(response, state.profile);
+    constexpr int maxForeignResponses = D::mayReceiveLateResponses ? 3 : 0;
+    ResponseHead head = m_dialect.readHead(response, state.profile);
     applySelfReport(endpoint, head);
-    for (int foreignResponses = 0; !head.ownAnswer && !head.notExecuted && !head.wrongInstance; ++foreignResponses) {
+    for (int foreignResponses = 0; !head.matchesRequest && !head.notExecuted && !head.wrongInstance; ++foreignResponses) {
         log::Line{log::Event::AnswerMismatched}.add("id", state.profile.id).add("endpoint", endpoint.id);
         if (foreignResponses == maxForeignResponses) {
             co_return AttemptEnd::Broken;
         }
-        const auto failed = co_await response.skipToNext();
+        const auto failed = co_await response.skipToNextResponse();
         if (failed) {
             co_return AttemptEnd::Broken;
         }
@@ -137,16 +137,16 @@
         applySelfReport(endpoint, head);
     }
     state.lastHead = head;
-    const bool current = m_table.isCurrent(endpoint);
+    const bool current = m_table.isCurrentIncarnation(endpoint);
     if (current) {
-        m_table.recovered(endpoint.id);
+        m_table.clearFailures(endpoint.id);
     }
     state.lastLoad = head.load;
     if (head.load >= 0 && current) {
-        m_table.reported(endpoint.id, head.load, Clock::now());
+        m_table.recordLoadReport(endpoint.id, head.load, Clock::now());
     }
     if (head.wrongInstance) {
-        m_table.noteLeaving(endpoint, true, Clock::now());
+        m_table.recordLeaving(endpoint, true, Clock::now());
         const auto watch = m_crashWatches.find(incarnationKey(endpoint));
         if (watch != m_crashWatches.end()) {
             watch->second->replaced = true;
@@ -163,7 +163,7 @@
     state.firstByte = state.firstByte == Clock::time_point{} ? now : state.firstByte;
     state.lastStatus = head.status;
     if (sharesPrompt(state.profile.prompt)) {
-        m_table.tookPrompt(promptKey(state.profile.prompt), endpoint, now);
+        m_table.recordPromptHolder(promptKey(state.profile.prompt), endpoint, now);
     }
     const bool streams = state.profile.route->kind == RequestKind::Stream && head.status == 200;
     // GCC 12 evaluates both arms of a conditional expression if each contains co_await.
@@ -176,15 +176,16 @@
 // Reads the whole response before relaying any of it, so that a truncated one can be requested from
 // another endpoint.
 template <Dialect D>
-Task<AttemptEnd> Gateway<D>::relayBuffered(http::Exchange &ex, RequestState &state, const Endpoint &endpoint, const AnswerHead &head, http::Response &response)
+Task<AttemptEnd> Gateway<D>::relayBuffered(http::Exchange &ex, RequestState &state, const Endpoint &endpoint, const ResponseHead &head,
+                                           http::Response &response)
 {
-    auto headers = m_dialect.answerHeaders(response, state.profile, endpoint);
-    response.setDeadline(state.profile.answerBy);
+    auto headers = m_dialect.responseHeaders(response, state.profile, endpoint);
+    response.setDeadline(state.profile.responseDeadline);
     std::string body;
     for (bool more = true; more;) {
         auto read = co_await response.read();
         if (std::holds_alternative<http::CallError>(read)) {
-            co_return Clock::now() >= state.profile.answerBy ? AttemptEnd::Silent : AttemptEnd::Broken;
+            co_return Clock::now() >= state.profile.responseDeadline ? AttemptEnd::Silent : AttemptEnd::Broken;
         }
         const auto &bytes = std::get<std::string>(read);
         more = !bytes.empty();
@@ -214,19 +215,19 @@
     const Route &route = *state.profile.route;
     if (!state.headSent) {
         state.headSent = true;
-        auto headers = m_dialect.answerHeaders(response, state.profile, endpoint);
+        auto headers = m_dialect.responseHeaders(response, state.profile, endpoint);
         co_await ex.beginStream(response.status(), "", std::move(headers));
     }
-    const auto patience = Millis(static_cast<int64_t>(static_cast<double>(route.eventGapTarget.count()) * m_options.gapPatience));
+    const auto patience = Millis(static_cast<int64_t>(static_cast<double>(route.eventGapTarget.count()) * m_options.eventGapTimeoutFactor));
     const bool mayResume = repeatable(route) && state.count.runs + 1 < route.maxAttempts;
     for (;;) {
-        response.setDeadline(mayResume ? std::min(state.profile.answerBy, Clock::now() + patience) : state.profile.answerBy);
+        response.setDeadline(mayResume ? std::min(state.profile.responseDeadline, Clock::now() + patience) : state.profile.responseDeadline);
         auto read = co_await response.read();
-        if (ex.callerGone()) {
+        if (ex.callerDisconnected()) {
             co_return AttemptEnd::CallerGone;
         }
         if (std::holds_alternative<http::CallError>(read)) {
-            state.events.runEnded();
+            state.events.discardPartialEvent();
             co_return AttemptEnd::Broken;
         }
         const auto &bytes = std::get<std::string>(read);
@@ -243,13 +244,13 @@
                 co_return AttemptEnd::CallerGone;
             }
         }
-        if (state.events.gap()) {
+        if (state.events.hasGap()) {
             co_return AttemptEnd::Broken;
         }
     }
-    const bool whole = D::streamsEndWithMark ? state.events.complete() : !state.events.midEvent();
+    const bool whole = D::streamsHaveTerminalEvent ? state.events.isComplete() : !state.events.hasPartialEvent();
     if (!whole) {
-        state.events.runEnded();
+        state.events.discardPartialEvent();
         co_return AttemptEnd::Broken; // the stream ended early without a transport error
     }
     co_await ex.endStream();
--- a/src/entry/gateway_endings.h
+++ b/src/entry/gateway_crashes.h
@@ -13,16 +13,16 @@
 // Returns how long a request must still be kept from endpoints; nothing if it may be sent.
 template <Dialect D> std::optional<Millis> Gateway<D>::quarantineRemaining(const RequestProfile &profile, Clock::time_point now) const
 {
-    const auto until = m_quarantine.heldUntil(contentKey(profile), now);
+    const auto until = m_quarantine.quarantinedUntil(contentKey(profile), now);
     return until ? std::optional(std::chrono::ceil<Millis>(*until - now)) : std::nullopt;
 }
 
 // Records that the response to a request broke: the endpoint may have crashed. An endpoint that was
-// leaving or is no longer listed ended as planned.
+// leaving or is no longer listed was stopped as planned.
 template <Dialect D> Task<void> Gateway<D>::recordBrokenResponse(uint64_t content, Endpoint endpoint)
 {
-    const auto standing = m_table.standingOf(endpoint);
-    if (standing == router::Standing::Leaving || standing == router::Standing::Unlisted) {
+    const auto listingState = m_table.listingState(endpoint);
+    if (listingState == router::ListingState::Leaving || listingState == router::ListingState::Unlisted) {
         co_return;
     }
     const auto now = Clock::now();
@@ -34,7 +34,7 @@
     }
     const auto watch = held;
     watch->brokeAt[content] = now;
-    m_quarantine.broke(content, ring::hash(incarnationKey(endpoint)), now);
+    m_quarantine.recordBrokenResponse(content, ring::hash(incarnationKey(endpoint)), now);
     if (probe) {
         const auto ex = co_await asio::this_coro::executor;
         asio::co_spawn(ex, watchForCrash(endpoint, watch), asio::detached);
@@ -61,7 +61,7 @@
     const auto until = Clock::now() + m_options.crashDetectionTimeout;
     co_await sleepFor(std::max(Clock::duration::zero(), watch->probeAt - Clock::now()));
     const http::Address address{endpoint.host, endpoint.port};
-    const auto probe = co_await http::probeConnection(address, m_options.connectTimeout, m_options.probeStaysOpenFor);
+    const auto probe = co_await http::probeConnection(address, m_options.connectTimeout, m_options.probeOpenTime);
     watch->probedAt = Clock::now();
     if (probe == http::Probe::Open) {
         recordAlive(endpoint, *watch); // the endpoint is probably alive; its listing in the store decides
@@ -71,18 +71,18 @@
         const auto it = m_crashWatches.find(key);
         return it != m_crashWatches.end() && it->second == watch;
     };
-    auto standing = m_table.standingOf(endpoint);
-    bool ended = standing == router::Standing::Restarted || (probe == http::Probe::Refused && standing != router::Standing::Leaving);
-    while (!ended && standing == router::Standing::Live && newest() && Clock::now() < until) {
+    auto listingState = m_table.listingState(endpoint);
+    bool crashed = listingState == router::ListingState::Restarted || (probe == http::Probe::Refused && listingState != router::ListingState::Leaving);
+    while (!crashed && listingState == router::ListingState::Live && newest() && Clock::now() < until) {
         co_await sleepFor(m_options.crashPollInterval);
-        standing = m_table.standingOf(endpoint);
-        ended = watch->replaced || standing == router::Standing::Restarted || standing == router::Standing::Unlisted;
+        listingState = m_table.listingState(endpoint);
+        crashed = watch->replaced || listingState == router::ListingState::Restarted || listingState == router::ListingState::Unlisted;
     }
     if (!newest()) {
         co_return; // a later watch has taken over the requests of this one
     }
     m_crashWatches.erase(key);
-    if (ended) {
+    if (crashed) {
         recordCrash(endpoint, *watch);
     } else {
         recordAlive(endpoint, *watch);
@@ -92,7 +92,7 @@
 template <Dialect D> void Gateway<D>::recordAlive(const Endpoint &endpoint, const CrashWatch &watch)
 {
     for (const auto &[content, brokeAt] : watch.brokeAt) {
-        m_quarantine.lives(content, ring::hash(incarnationKey(endpoint)));
+        m_quarantine.recordAlive(content, ring::hash(incarnationKey(endpoint)));
     }
 }
 
@@ -102,7 +102,7 @@
     ++m_metrics.endpointCrashes;
     log::Line{log::Event::EndpointEnded}.add("endpoint", endpoint.id).add("service", endpoint.pool).add("contents", static_cast<int64_t>(watch.brokeAt.size()));
     for (const auto &[content, brokeAt] : watch.brokeAt) {
-        m_quarantine.ended(content, ring::hash(incarnationKey(endpoint)), now);
+        m_quarantine.recordCrash(content, ring::hash(incarnationKey(endpoint)), now);
     }
 }
 
--- a/src/entry/gateway_place.h
+++ b/src/entry/gateway_place.h
@@ -32,9 +32,10 @@
 
 // Returns what the endpoint likely holds of the prompt, and from which endpoint it may fetch the
 // prompt.
-template <Dialect D> router::PromptBelief Gateway<D>::beliefOf(const RequestState &state, const Endpoint &endpoint, Clock::time_point now) const
+template <Dialect D> router::PromptEstimate Gateway<D>::estimatePrompt(const RequestState &state, const Endpoint &endpoint, Clock::time_point now) const
 {
-    return sharesPrompt(state.profile.prompt) ? m_table.beliefOf(promptKey(state.profile.prompt), endpoint, now, state.constraints) : router::PromptBelief();
+    return sharesPrompt(state.profile.prompt) ? m_table.estimatePrompt(promptKey(state.profile.prompt), endpoint, now, state.constraints)
+                                              : router::PromptEstimate();
 }
 
 } // namespace yucca::entry
--- a/src/entry/gateway_account.h
+++ b/src/entry/gateway_statistics.h
@@ -20,7 +20,7 @@
 // used up.
 template <Dialect D> bool Gateway<D>::spendRetry(const std::string &service)
 {
-    const bool taken = retryBudgetFor(service).spend(Clock::now());
+    const bool taken = retryBudgetFor(service).tryRetry(Clock::now());
     ++(taken ? m_metrics.retries : m_metrics.retriesDenied);
     return taken;
 }
@@ -42,12 +42,12 @@
     const auto now = Clock::now();
     m_metrics.attemptEnded(end);
     if (end == AttemptEnd::Delivered && state.lastStatus / 100 == 2) {
-        m_quarantine.answered(contentKey(state.profile), now);
+        m_quarantine.recordCompleteResponse(contentKey(state.profile), now);
     }
     if (end != AttemptEnd::CallerGone) {
         const bool failed = end != AttemptEnd::Delivered || state.lastStatus >= 500;
         const auto ejection = m_outliers[state.service].record(incarnationKey(endpoint), failed, m_table.poolSize(state.service), now);
-        if (ejection && m_table.isCurrent(endpoint)) {
+        if (ejection && m_table.isCurrentIncarnation(endpoint)) {
             ++m_metrics.ejections;
             m_table.eject(endpoint.id, ejection->until);
             log::Line{log::Event::EndpointEjected}
@@ -61,7 +61,7 @@
     if (end != AttemptEnd::Delivered && m_logLimiter.take(true, now)) {
         log::Line{log::Event::AttemptEnded}
             .add("id", state.profile.id)
-            .add("content", text::hex(contentKey(state.profile)))
+            .add("content", text::toHex(contentKey(state.profile)))
             .add("endpoint", endpoint.id)
             .add("end", nameOf(attemptEndNames, end))
             .add("status", static_cast<int64_t>(state.lastHead.status))
@@ -95,7 +95,7 @@
     }
     log::Line{log::Event::RequestFinished}
         .add("id", p.id)
-        .add("content", text::hex(contentKey(p)))
+        .add("content", text::toHex(contentKey(p)))
         .add("end", nameOf(requestEndNames, end))
         .add("status", status)
         .add("route", p.route->name)
@@ -105,9 +105,9 @@
         .add("endpoint", state.lastEndpoint)
         .add("load", state.lastLoad)
         .add("at_home", state.home && state.home->id == state.lastEndpoint)
-        .add("held", state.belief.held)
-        .add("holder", state.belief.source ? state.belief.source->id : "")
-        .add("sends", int64_t{state.count.sends})
+        .add("held", state.promptEstimate.held)
+        .add("holder", state.promptEstimate.source ? state.promptEstimate.source->id : "")
+        .add("sends", int64_t{state.count.attempts})
         .add("runs", int64_t{state.count.runs})
         .add("events", static_cast<int64_t>(state.events.lastId()))
         .add("first_ms", firstByte < 0 ? int64_t{-1} : static_cast<int64_t>(firstByte * 1000))
--- a/src/entry/line_budget.h
+++ b/src/entry/log_rate_limiter.h
@@ -21,7 +21,7 @@
     /// Returns true if a line may be written; otherwise counts it as suppressed.
     bool take(bool failure, Clock::time_point now)
     {
-        if ((failure ? m_failures : m_successes).take(now)) {
+        if ((failure ? m_failures : m_successes).tryTake(now)) {
             return true;
         }
         ++m_suppressed;
--- a/src/entry/placement_rules.h
+++ b/src/entry/placement_rules.h
@@ -9,9 +9,9 @@
 
 /// Returns the constraints of a request. If both its route and its workspace restrict the regions,
 /// both restrictions apply.
-inline router::Constraints constraintsOf(const RequestProfile &profile)
+inline router::PlacementConstraints constraintsOf(const RequestProfile &profile)
 {
-    router::Constraints constraints;
+    router::PlacementConstraints constraints;
     constraints.priority = profile.priority;
     constraints.regions.restrictTo(profile.route->regions);
     constraints.regions.restrictTo(profile.regions);
@@ -19,15 +19,15 @@
 }
 
 /// Returns the rejection of a request that no endpoint can take.
-inline Rejection rejectionFor(router::Obstacle obstacle)
+inline Rejection rejectionFor(router::NoEndpointReason reason)
 {
-    switch (obstacle) {
-    case router::Obstacle::Evacuated:
+    switch (reason) {
+    case router::NoEndpointReason::Evacuated:
         return Rejection::Evacuated;
-    case router::Obstacle::Cold:
+    case router::NoEndpointReason::Cold:
         return Rejection::Cold;
-    case router::Obstacle::Region:
-    case router::Obstacle::Unusable:
+    case router::NoEndpointReason::Region:
+    case router::NoEndpointReason::Unusable:
         break;
     }
     return Rejection::NoEndpoint;
--- a/src/entry/process.h
+++ b/src/entry/process.h
@@ -40,9 +40,9 @@
         , m_settingsPath(std::move(settingsPath))
         , m_table(tableOptions(settings))
         , m_published(m_table, publishedOptions(settings))
-        , m_configurationReplica(C::configurationKind, rankAmongNeighbours(), m_changeClient, freshness(settings))
-        , m_endpointReplica(C::endpointKind, rankAmongNeighbours(), m_changeClient, freshness(settings))
-        , m_evacuationReplica(C::evacuationKind, rankAmongNeighbours(), m_changeClient, replica::freshnessWithin(Millis(settings.evacuationBoundMs)))
+        , m_configurationReplica(C::configurationKind, rankAmongNeighbours(), m_changeClient, querySchedule(settings))
+        , m_endpointReplica(C::endpointKind, rankAmongNeighbours(), m_changeClient, querySchedule(settings))
+        , m_evacuationReplica(C::evacuationKind, rankAmongNeighbours(), m_changeClient, replica::queryScheduleWithin(Millis(settings.evacuationBoundMs)))
         , m_control(store, m_published, {&m_configurationReplica, &m_endpointReplica, &m_evacuationReplica})
         , m_exchange(store, {settings.id, settings.failureDomain, settings.peers}, m_table)
         , m_snapshot(
@@ -51,7 +51,7 @@
                   return m_published.endpointsKnown();
               },
               [this] {
-                  return m_exchange.firstByName(Clock::now());
+                  return m_exchange.isFirstByName(Clock::now());
               })
         , m_quarantineStore(
               store, m_quarantine,
@@ -59,7 +59,7 @@
                   return !m_exchange.rank(Clock::now()).has_value();
               },
               [this] {
-                  return m_exchange.firstByName(Clock::now());
+                  return m_exchange.isFirstByName(Clock::now());
               })
         , m_gateway(GatewayParts{m_published, m_table, m_admission, m_quarantine}, gatewayOptions(settings))
         , m_changes(sharedReplicas(settings))
@@ -77,14 +77,14 @@
                         return answerMetrics(ex);
                     })
         , m_neighbours({&m_controlLoop}, settings.peers.host, settings.peers.port, [this](http::Exchange &ex) {
-            return m_changes.answer(ex);
+            return m_changes.handle(ex);
         })
     {
-        m_exchange.share(sharedReplicas(settings));
-        m_exchange.share(m_quarantine);
-        m_quarantine.onNews = [this] {
+        m_exchange.shareReplicas(sharedReplicas(settings));
+        m_exchange.shareQuarantine(m_quarantine);
+        m_quarantine.onUrgentUpdate = [this] {
             asio::post(m_controlLoop, [this] {
-                m_exchange.tellSoon();
+                m_exchange.requestRound();
             });
         };
     }
@@ -125,7 +125,7 @@
     }
 
 private:
-    replica::SharedReplica::Rank rankAmongNeighbours()
+    replica::SharedReplica::RankProvider rankAmongNeighbours()
     {
         return [this](Clock::time_point now) {
             return m_exchange.rank(now);
@@ -143,9 +143,9 @@
     {
         return {s.evacuationBoundMs > 0, s.coldOvershoot, s.coldSlack, s.regions};
     }
-    static replica::FreshnessOptions freshness(const Settings &s)
+    static replica::QueryScheduleOptions querySchedule(const Settings &s)
     {
-        return replica::freshnessWithin(Millis(std::min(s.configurationBoundMs, s.drainBoundMs)));
+        return replica::queryScheduleWithin(Millis(std::min(s.configurationBoundMs, s.drainBoundMs)));
     }
     static router::TableOptions tableOptions(const Settings &s)
     {
@@ -217,12 +217,12 @@
         };
         m_supervisor.start({"peers",
                             [this] {
-                                return m_exchange.followPeers();
+                                return m_exchange.runPeerRefresh();
                             },
                             stop});
         m_supervisor.start({"tell",
                             [this] {
-                                return m_exchange.tell();
+                                return m_exchange.runSender();
                             },
                             stop});
         m_supervisor.start({"prompts",
@@ -234,7 +234,7 @@
                             }});
         m_supervisor.start({"hear",
                             [this] {
-                                return m_exchange.hear();
+                                return m_exchange.runReceiver();
                             },
                             stop});
     }
@@ -253,15 +253,15 @@
                 seen = configuration;
                 m_callers.setLimits(configuration->callerLimits);
             }
-            m_published.dropLapsed(Clock::now());
-            if (m_table.restarts() != restarts) {
-                restarts = m_table.restarts();
+            m_published.endExpiredRetention(Clock::now());
+            if (m_table.restartCount() != restarts) {
+                restarts = m_table.restartCount();
                 asio::post(m_trafficLoop, [this] {
                     m_gateway.cancelAttemptsAtRestarted();
                 });
             }
-            if (m_exchange.listedRouters() != routers) {
-                routers = m_exchange.listedRouters();
+            if (m_exchange.listedRouterCount() != routers) {
+                routers = m_exchange.listedRouterCount();
                 asio::post(m_trafficLoop, [this, limits = retryLimits(m_settings, routers)] {
                     m_gateway.setRetryLimits(limits);
                 });
@@ -294,7 +294,7 @@
         log::Line{log::Event::SettingsReloaded}.add("file", m_settingsPath);
         asio::post(m_trafficLoop, [this, fresh = std::move(fresh)] {
             m_stopGraceMs = fresh.stopGraceMs;
-            m_gateway.setRetryLimits(retryLimits(fresh, m_exchange.listedRouters()));
+            m_gateway.setRetryLimits(retryLimits(fresh, m_exchange.listedRouterCount()));
         });
         m_settings.retryRatio = fresh.retryRatio;
         m_settings.retrySlack = fresh.retrySlack;
@@ -315,10 +315,10 @@
         gauges.storeSilenceSeconds = std::chrono::duration<double>(Clock::now() - m_published.lastContact()).count();
         gauges.endpoints = m_published.endpointCount();
         gauges.inflight = m_callers.inflight();
-        gauges.peers = m_exchange.heardPeers();
+        gauges.peers = m_exchange.activePeerCount();
         gauges.evacuatedDomains = m_table.evacuated().size();
         gauges.coldEndpoints = m_table.coldCount(Clock::now());
-        gauges.quarantined = m_quarantine.heldCount(Clock::now());
+        gauges.quarantined = m_quarantine.quarantinedCount(Clock::now());
         std::string text = m_gateway.metricsText(gauges);
         co_await ex.reply(200, std::move(text), {}, "text/plain; version=0.0.4");
     }
@@ -330,7 +330,7 @@
         co_await awaitStopSignal();
         const auto began = Clock::now();
         m_stopping = true;
-        m_callers.askCallersToLeave();
+        m_callers.closeConnectionsAfterResponses();
         log::Line{log::Event::StopRequested}.add("inflight", m_callers.inflight());
         co_await sleepFor(std::min(m_stop.acceptRequestsFor, Millis(m_stopGraceMs) / 2));
         m_gateway.rejectNewRequests();
--- a/src/entry/request_profile.h
+++ b/src/entry/request_profile.h
@@ -21,7 +21,7 @@
 /// The prompt of a request, as the request describes it.
 struct Prompt {
     int64_t inputTokens = 0;
-    int64_t mostOutputTokens = 0;
+    int64_t maxOutputTokens = 0;
     std::vector<PromptPart> parts; ///< in prompt order; the last part belongs to the request or its session alone
 };
 
@@ -57,7 +57,7 @@
     int priority = 5; ///< 0 is the most urgent
     Clock::time_point arrived;
     Clock::time_point deadline; ///< when the caller stops waiting
-    Clock::time_point answerBy; ///< the earlier of the deadline and the end of the route's timeout
+    Clock::time_point responseDeadline; ///< the earlier of the deadline and the end of the route's timeout
     placement::Affinity affinity;
     Prompt prompt;
     std::string idempotencyKey; ///< if not empty, at most one of the workspace's requests with this key runs
@@ -149,7 +149,7 @@
 }
 
 /// A rejection formatted for a wire interface.
-struct RejectionAnswer {
+struct RejectionResponse {
     unsigned status = 0;
     http::Headers headers;
     std::string body;
@@ -165,11 +165,11 @@
 };
 
 /// The information in the head of an endpoint's response.
-struct AnswerHead {
+struct ResponseHead {
     unsigned status = 0;
     bool notExecuted = false; ///< the endpoint states that it did not run the request
     bool wrongInstance = false; ///< another endpoint instance has the address now
-    bool ownAnswer = false; ///< the response carries the request's id
+    bool matchesRequest = false; ///< the response carries the request's id
     bool authentic = false; ///< the response is unaltered: signed by the endpoint and not encoded
     std::optional<bool> leaving; ///< whether the endpoint states that it is about to stop; absent: not stated
     int64_t load = -1; ///< number of requests running and waiting at the endpoint; -1: not reported
--- a/src/entry/come_back.h
+++ b/src/entry/retry_after.h
@@ -9,7 +9,7 @@
 {
 
 /// Waits before a retry, by the condition that has to change before it can succeed.
-struct ComeBackOptions {
+struct RetryAfterOptions {
     Millis otherRouter{50}; ///< only this router rejects: the next connection reaches another one
     Millis capacity{150}; ///< endpoints rejected the request: a plain call takes 60 ms, so some slots are free by then
     Millis noUsableEndpoint{400}; ///< no endpoint is usable: half a heartbeat, or the end of a short ejection
@@ -23,7 +23,7 @@
 
 /// Returns the randomised wait for a rejection. sinceStart is the age of this router. Callers wait
 /// at most a third of their remaining time.
-template <typename Random> Millis comeBackAfter(Rejection why, Clock::duration sinceStart, const ComeBackOptions &options, Random &random)
+template <typename Random> Millis retryAfterFor(Rejection why, Clock::duration sinceStart, const RetryAfterOptions &options, Random &random)
 {
     Millis wait = options.capacity;
     if (why == Rejection::Stopping || why == Rejection::OutOfDate) {
--- a/src/entry/retry_policy.h
+++ b/src/entry/retry_policy.h
@@ -39,17 +39,17 @@
 
 /// Attempts of one request so far.
 struct AttemptCount {
-    int sends = 0; ///< attempts, with any result
+    int attempts = 0; ///< attempts, with any result
     int arrivals = 0; ///< attempts that reached an endpoint
     int runs = 0; ///< attempts in which the request may have run
 };
 
 /// Maximum number of attempts beyond those that may run the request. Endpoints that refuse
 /// connections or shed requests cost little, but a request must not try a whole pool.
-inline constexpr int mostExtraSends = 3;
+inline constexpr int maxExtraAttempts = 3;
 
 /// Returns true if another endpoint may be tried after an attempt that ended this way.
-inline bool mayTryAgain(const Route &route, AttemptEnd end, const AttemptCount &count)
+inline bool mayRetry(const Route &route, AttemptEnd end, const AttemptCount &count)
 {
     switch (end) {
     case AttemptEnd::Delivered:
@@ -57,11 +57,11 @@
         return false;
     case AttemptEnd::Unreached:
     case AttemptEnd::NotExecuted:
-        return count.sends < route.maxAttempts + mostExtraSends;
+        return count.attempts < route.maxAttempts + maxExtraAttempts;
     case AttemptEnd::EngineFailed:
     case AttemptEnd::Broken:
     case AttemptEnd::Silent:
-        return repeatable(route) && count.runs < route.maxAttempts && count.sends < route.maxAttempts + mostExtraSends;
+        return repeatable(route) && count.runs < route.maxAttempts && count.attempts < route.maxAttempts + maxExtraAttempts;
     }
     return false;
 }
--- a/src/explain.cpp
+++ b/src/explain.cpp
@@ -40,7 +40,7 @@
     {"key_reused", "the idempotency key was used for a different request"},
     {"evacuated", "the failure domains of the endpoints that could have served the request are evacuated (see DomainEvacuated)"},
     {"cold", "the remaining endpoints had just started or returned, and their limit for cold endpoints was reached"},
-    {"quarantined", "endpoints ended while they ran requests with the same content (see RequestQuarantined), so the request was not sent"},
+    {"quarantined", "endpoints crashed while they ran requests with the same content (see RequestQuarantined), so the request was not sent"},
 };
 
 /// Description of each outcome of an attempt; the subject is the endpoint.
@@ -92,7 +92,7 @@
 } // namespace
 
 // Sets the cause unless the current one comes from an event of higher rank.
-void Reader::proposeCause(int rank, const std::string &cause)
+void TimelineBuilder::proposeCause(int rank, const std::string &cause)
 {
     if (!cause.empty() && rank >= m_causeRank) {
         m_causeRank = rank;
@@ -100,7 +100,7 @@
     }
 }
 
-void Reader::read(std::istream &log, const std::string &source)
+void TimelineBuilder::read(std::istream &log, const std::string &source)
 {
     std::string text;
     while (std::getline(log, text)) {
@@ -142,7 +142,7 @@
     }
 }
 
-Timeline Reader::finish()
+Timeline TimelineBuilder::finish()
 {
     constexpr int64_t contextMs = 10000; // endpoint events this long before the last event of the request may be related
     auto byTime = [](const Entry &a, const Entry &b) {
--- a/src/explain.h
+++ b/src/explain.h
@@ -25,10 +25,10 @@
 };
 
 /// Builds the timeline of a request: call read() for each log, then finish().
-class Reader
+class TimelineBuilder
 {
 public:
-    explicit Reader(std::string requestId)
+    explicit TimelineBuilder(std::string requestId)
         : m_requestId(std::move(requestId))
     {
     }
--- a/src/follower.h
+++ b/src/follower.h
@@ -25,46 +25,46 @@
 concept FollowerSink = requires(S s, const platform::Listing &listing, platform::Freshness freshness, const platform::Object &object, bool deleted,
                                 Clock::duration away)
 {
-    s.listed(listing, freshness);
-    s.listedSoFar(listing); // the pages read so far of the first listing
-    s.changed(object, deleted);
-    s.batchEnded();
-    s.regained(away); // called before the first update after an outage
-    s.restored(); // called before the first listing after the store was restored from an older copy
+    s.onListing(listing, freshness);
+    s.onPartialListing(listing); // the pages read so far of the first listing
+    s.onChange(object, deleted);
+    s.onBatchEnd();
+    s.onStoreRecovered(away); // called before the first update after an outage
+    s.onStoreRestored(); // called before the first listing after the store was restored from a backup
 };
 
 /// Intervals, delays and collaborators of a Follower.
 struct FollowerOptions {
     /// Timeout of one watch. It is short because a store that drops its history may leave a watch unanswered, and only the timeout
     /// reveals that. A change must be in force at most 3 s after such an event.
-    Millis watchWait{2000};
-    Millis firstPause{100}; ///< delay after a failed call; each further failure doubles it, up to longestPause
+    Millis watchTimeout{2000};
+    Millis initialRetryDelay{100}; ///< delay after a failed call; each further failure doubles it, up to maxRetryDelay
     /// Upper limit of the delay. Every call has a price, also calls to an unreachable store. A caller that learns earlier that the
     /// store is back calls restartWatch().
-    Millis longestPause{1600};
+    Millis maxRetryDelay{1600};
     /// Delay between received changes and the next watch, so that one answer carries all changes made meanwhile. Every call has a
     /// price, and while many endpoints join and leave, each change would wake the watch of every router. The delay is far below the
     /// 2 s within which a change must be in force.
-    Millis afterNews{300};
-    ReadPolicy *reads = nullptr; ///< read policy of the store; null: every watch requires a current answer
-    replica::SharedReplica *shared = nullptr; ///< state shared with other routers; null: this router follows the store on its own
+    Millis changeCoalescingDelay{300};
+    ReadPolicy *readPolicy = nullptr; ///< read policy of the store; null: every watch requires a current answer
+    replica::SharedReplica *sharedReplica = nullptr; ///< state shared with other routers; null: this router follows the store on its own
     /// A first listing that was served by a replica is confirmed by this router's own watch after this delay, unless peers confirm
     /// it earlier. Routers that started together hear each other by then; a router counts as connected 3 s after its start.
     Millis selfConfirmDelay{2500};
-    /// Delay after a failed call of a router that hears others and is not among the first mostProbing by name. Those notice the
+    /// Delay after a failed call of a router that hears others and is not among the first maxProbingRouters by name. Those notice the
     /// store's return and announce it.
     Millis nonProberRetryDelay{3200};
     Millis outageSuspectedAfter{2500}; ///< the store may have been down if neither this router nor a peer heard from it for this long
-    Millis replicaWatchWait{100}; ///< timeout of a watch on a replica for a change that a peer announced; after it, the store itself is watched
-    /// Delay of the first listing after the store was restored from an older copy. The known state stays in force meanwhile. It is
+    Millis replicaWatchTimeout{100}; ///< timeout of a watch on a replica for a change that a peer announced; after it, the store itself is watched
+    /// Delay of the first listing after the store was restored from a backup. The known state stays in force meanwhile. It is
     /// needed if the sink cannot tell lost entries from deleted ones; 0 if it can.
-    Millis restorePause{0};
+    Millis relistDelayAfterRestore{0};
     /// Minimum interval between two listings that are made because two routers hold different objects.
     Millis minRelistInterval{10000};
 };
 
 /// Number of routers that keep calling an unreachable store while routers hear each other: enough that one of them is running.
-inline constexpr std::size_t mostProbing = 3;
+inline constexpr std::size_t maxProbingRouters = 3;
 
 /// Follows one kind of objects until stop() is called.
 template <FollowerSink Sink> class Follower
@@ -75,7 +75,7 @@
         , m_kind(std::move(kind))
         , m_sink(sink)
         , m_options(options)
-        , m_retryDelay(options.firstPause)
+        , m_retryDelay(options.initialRetryDelay)
     {
     }
 
@@ -90,7 +90,7 @@
             if (!reached && !m_stopping && !behindPeer()) {
                 co_await wake().wait(Clock::now() + nextRetryDelay());
             } else if (m_hadChanges && !m_stopping) {
-                co_await wake().wait(Clock::now() + m_options.afterNews);
+                co_await wake().wait(Clock::now() + m_options.changeCoalescingDelay);
             }
         }
     }
@@ -106,7 +106,7 @@
         requireCurrentReads();
         wake().notifyAll();
         if (m_cancellation) {
-            m_cancellation->fire();
+            m_cancellation->cancel();
         }
     }
     /// Runs one listing, one fetch from a peer or one watch. Returns false if the store could not be reached.
@@ -127,7 +127,7 @@
             reached = co_await watch();
         }
         if (reached) {
-            m_retryDelay = m_options.firstPause;
+            m_retryDelay = m_options.initialRetryDelay;
         }
         co_return reached;
     }
@@ -149,10 +149,10 @@
                 .add("before", static_cast<int64_t>(m_epoch))
                 .add("revision", static_cast<int64_t>(listing.revision))
                 .add("held", static_cast<int64_t>(m_revision));
-            if (m_options.reads) {
-                m_options.reads->recordRestore(Clock::now());
+            if (m_options.readPolicy) {
+                m_options.readPolicy->recordRestore(Clock::now());
             }
-            m_sink.restored();
+            m_sink.onStoreRestored();
         }
         m_epoch = listing.epoch;
     }
@@ -161,11 +161,11 @@
     bool delayListing(const platform::Listing &listing)
     {
         const bool restored = listing.epoch > m_epoch && m_listedAt != Clock::time_point{};
-        if (!restored || m_options.restorePause == Millis(0) || m_delayedEpoch == listing.epoch) {
+        if (!restored || m_options.relistDelayAfterRestore == Millis(0) || m_delayedEpoch == listing.epoch) {
             return false;
         }
         m_delayedEpoch = listing.epoch;
-        m_listNotBefore = Clock::now() + m_options.restorePause;
+        m_listNotBefore = Clock::now() + m_options.relistDelayAfterRestore;
         return true;
     }
 
@@ -173,15 +173,15 @@
     // that state out of force.
     bool behindPeer() const
     {
-        return m_options.shared && m_options.shared->behindPeer();
+        return m_options.sharedReplica && m_options.sharedReplica->behindPeer();
     }
 
     // Waits while confirmations from peers are recent enough.
     Task<void> waitUntilDue()
     {
-        while (m_options.shared && m_listed && !m_stopping) {
+        while (m_options.sharedReplica && m_listed && !m_stopping) {
             const auto now = Clock::now();
-            const auto due = m_options.shared->queryDueAt(now);
+            const auto due = m_options.sharedReplica->queryDueAt(now);
             if (behindPeer() || behindEpoch() || due <= now) {
                 co_return;
             }
@@ -193,14 +193,14 @@
     {
         return {[this](const platform::Object &object, bool deleted) {
                     recordContact(); // recorded before the first update after an outage
-                    m_sink.changed(object, deleted);
+                    m_sink.onChange(object, deleted);
                     m_hadChanges = true;
                 },
                 [this](const platform::Listing &listing) {
                     recordContact();
                     applyEpoch(listing);
                     m_revision = listing.revision;
-                    m_sink.listed(listing, platform::Freshness::MayLag);
+                    m_sink.onListing(listing, platform::Freshness::MayLag);
                     m_hadChanges = true;
                 }};
     }
@@ -208,11 +208,11 @@
     // Fetches the state that a peer announced, and reads from the store if the fetch fails.
     Task<bool> fetch()
     {
-        const bool laterEpoch = m_options.shared->behindEpoch();
+        const bool laterEpoch = m_options.sharedReplica->behindEpoch();
         const auto limit = m_storeLost ? replica::TransferLimit::Large : replica::TransferLimit::Regular;
-        const auto outcome = co_await m_options.shared->fetch(limit, fetchSink());
+        const auto outcome = co_await m_options.sharedReplica->fetch(limit, fetchSink());
         if (m_hadChanges) {
-            m_sink.batchEnded();
+            m_sink.onBatchEnd();
         }
         if (outcome == replica::FetchOutcome::Complete) {
             recordContact();
@@ -229,8 +229,8 @@
         if (!m_storeLost) {
             // Changes too large to be fetched from peers are read from a replica at a tenth of the price of a current read: every router
             // of the fleet reads each change of a large configuration this way.
-            const bool reached = co_await watch(WatchMode{platform::Freshness::MayLag, m_options.replicaWatchWait});
-            if (!reached || m_options.shared->hasUnfetchedState()) {
+            const bool reached = co_await watch(WatchMode{platform::Freshness::MayLag, m_options.replicaWatchTimeout});
+            if (!reached || m_options.sharedReplica->holdsAnnouncedState()) {
                 co_return reached;
             }
         }
@@ -244,7 +244,7 @@
         // A replica's answer suffices at the start, at a tenth of the price. What it lacks is reported within a second by the routers
         // that query the store for all, or by this router's own watch.
         const bool first = m_listedAt == Clock::time_point{};
-        const auto freshness = m_options.shared && first ? platform::Freshness::MayLag : platform::Freshness::Current;
+        const auto freshness = m_options.sharedReplica && first ? platform::Freshness::MayLag : platform::Freshness::Current;
         for (bool more = true; more;) {
             const std::string after = lastName();
             auto result = co_await m_api.list(m_kind, after, freshness);
@@ -263,7 +263,7 @@
             appendPage(std::move(page));
             more = hasMore && lastName() != after;
             if (more && first) {
-                m_sink.listedSoFar(m_listing);
+                m_sink.onPartialListing(m_listing);
             }
         }
         recordContact();
@@ -306,9 +306,9 @@
         m_lastFreshness = freshness;
         m_revision = listing.revision;
         m_listed = true;
-        m_sink.listed(listing, freshness);
-        if (m_options.shared) {
-            m_options.shared->applyListing(listing, freshness, m_listedAt);
+        m_sink.onListing(listing, freshness);
+        if (m_options.sharedReplica) {
+            m_options.sharedReplica->applyListing(listing, freshness, m_listedAt);
         }
     }
 
@@ -323,13 +323,13 @@
         http::Cancellation cancellation;
         m_cancellation = &cancellation;
         const auto askedAt = Clock::now();
-        const bool sharedWatch = m_options.shared && m_options.shared->shared(askedAt);
+        const bool sharedWatch = m_options.sharedReplica && m_options.sharedReplica->hasActivePeers(askedAt);
         const auto freshness = mode ? mode->freshness : sharedWatch ? platform::Freshness::Current : standaloneFreshness(askedAt);
-        const auto wait = mode ? mode->wait : sharedWatch ? m_options.shared->watchWait() : standaloneWait(askedAt);
-        const auto from = m_options.shared ? m_options.shared->watchFrom(askedAt) : m_revision;
+        const auto wait = mode ? mode->wait : sharedWatch ? m_options.sharedReplica->watchTimeout() : standaloneWait(askedAt);
+        const auto from = m_options.sharedReplica ? m_options.sharedReplica->watchFrom(askedAt) : m_revision;
         auto result = co_await m_api.watch(m_kind, from, wait, freshness, &cancellation);
         m_cancellation = nullptr;
-        if (!ok(result) && cancellation.fired()) {
+        if (!ok(result) && cancellation.isCancelled()) {
             co_return true;
         }
         if (!ok(result)) {
@@ -356,14 +356,14 @@
         m_revision = batch.revision;
         m_hadChanges = !batch.events.empty();
         for (const auto &event : batch.events) {
-            m_sink.changed(event.object, event.deleted);
-            if (m_options.shared) {
-                m_options.shared->applyChange(event.object, event.deleted, batch.revision);
+            m_sink.onChange(event.object, event.deleted);
+            if (m_options.sharedReplica) {
+                m_options.sharedReplica->applyChange(event.object, event.deleted, batch.revision);
             }
         }
-        m_sink.batchEnded();
-        if (m_options.shared && freshness == platform::Freshness::Current) {
-            m_options.shared->recordConfirmation(batch.revision, Clock::now(), m_hadChanges);
+        m_sink.onBatchEnd();
+        if (m_options.sharedReplica && freshness == platform::Freshness::Current) {
+            m_options.sharedReplica->recordConfirmation(batch.revision, Clock::now(), m_hadChanges);
         }
         co_return true;
     }
@@ -371,7 +371,7 @@
     // Returns true while the first listing, which a replica served, is not confirmed.
     bool unconfirmed() const
     {
-        return m_options.shared && !m_options.shared->isConfirmed();
+        return m_options.sharedReplica && !m_options.sharedReplica->isConfirmed();
     }
 
     platform::Freshness standaloneFreshness(Clock::time_point now) const
@@ -379,19 +379,19 @@
         if (unconfirmed()) {
             return now >= m_listedAt + m_options.selfConfirmDelay ? platform::Freshness::Current : platform::Freshness::MayLag;
         }
-        return m_options.reads ? m_options.reads->choose(m_lastCurrent, now) : platform::Freshness::Current;
+        return m_options.readPolicy ? m_options.readPolicy->choose(m_lastCurrent, now) : platform::Freshness::Current;
     }
 
     Millis standaloneWait(Clock::time_point now) const
     {
         const auto left = std::chrono::ceil<Millis>(m_listedAt + m_options.selfConfirmDelay - now);
-        return unconfirmed() && left > Millis(0) ? std::min(left, m_options.watchWait) : m_options.watchWait;
+        return unconfirmed() && left > Millis(0) ? std::min(left, m_options.watchTimeout) : m_options.watchTimeout;
     }
 
     void requireCurrentReads()
     {
-        if (m_options.reads) {
-            m_options.reads->requireCurrent(Clock::now());
+        if (m_options.readPolicy) {
+            m_options.readPolicy->requireCurrent(Clock::now());
         }
     }
 
@@ -401,8 +401,8 @@
         if (freshness == platform::Freshness::Current) {
             m_lastCurrent = now;
         }
-        if (m_options.reads) {
-            m_options.reads->answered(freshness, batch.revision, !batch.events.empty(), askedAt, now, m_lastFreshness);
+        if (m_options.readPolicy) {
+            m_options.readPolicy->recordAnswer(freshness, batch.revision, !batch.events.empty(), askedAt, now, m_lastFreshness);
         }
         m_lastFreshness = freshness;
     }
@@ -410,15 +410,15 @@
     void recordContact()
     {
         const auto now = Clock::now();
-        const auto last = m_options.shared ? std::max(m_lastContact, m_options.shared->confirmedAt()) : m_lastContact;
+        const auto last = m_options.sharedReplica ? std::max(m_lastContact, m_options.sharedReplica->confirmedAt()) : m_lastContact;
         const auto away = last == Clock::time_point{} ? Clock::duration::zero() : now - last;
         if (!m_storeLost && away >= m_options.outageSuspectedAfter) {
-            m_sink.regained(away); // this router made no call meanwhile
+            m_sink.onStoreRecovered(away); // this router made no call meanwhile
         }
         if (m_storeLost) {
             m_storeLost = false;
             log::Line{log::Event::StoreRegained}.add("kind", m_kind).add("away_ms", std::chrono::duration_cast<Millis>(away).count());
-            m_sink.regained(away);
+            m_sink.onStoreRecovered(away);
         }
         m_lastContact = now;
     }
@@ -434,17 +434,17 @@
     // Returns a random delay between half of m_retryDelay and m_retryDelay, so that routers that lost the store together do not retry together.
     Millis nextRetryDelay()
     {
-        if (m_options.shared && m_options.shared->rank(Clock::now()) >= mostProbing) {
+        if (m_options.sharedReplica && m_options.sharedReplica->rank(Clock::now()) >= maxProbingRouters) {
             return m_options.nonProberRetryDelay;
         }
         const Millis delay = m_retryDelay / 2 + Millis(m_random() % static_cast<uint64_t>(m_retryDelay.count() / 2 + 1));
-        m_retryDelay = std::min(m_retryDelay * 2, m_options.longestPause);
+        m_retryDelay = std::min(m_retryDelay * 2, m_options.maxRetryDelay);
         return delay;
     }
 
     Notifier &wake()
     {
-        return m_options.shared ? m_options.shared->wake() : m_wake;
+        return m_options.sharedReplica ? m_options.sharedReplica->wake() : m_wake;
     }
 
     platform::ObjectApi &m_api;
--- a/src/forwarding.h
+++ b/src/forwarding.h
@@ -18,7 +18,7 @@
     "upgrade",    "http2-settings", "content-length",   "expect", "proxy-authenticate"};
 
 /// Compares header names or tokens, ignoring ASCII case.
-inline bool sameName(std::string_view a, std::string_view b)
+inline bool equalsIgnoreCase(std::string_view a, std::string_view b)
 {
     return boost::beast::iequals(beastView(a), beastView(b));
 }
@@ -27,7 +27,7 @@
 template <typename Table> bool contains(const Table &names, std::string_view name)
 {
     return std::any_of(names.begin(), names.end(), [name](std::string_view known) {
-        return sameName(known, name);
+        return equalsIgnoreCase(known, name);
     });
 }
 
@@ -45,7 +45,7 @@
 }
 
 /// The end-to-end fields of a message, in order, including repeated fields.
-template <typename Fields> Headers endToEnd(const Fields &fields)
+template <typename Fields> Headers endToEndFields(const Fields &fields)
 {
     const auto dropped = connectionOptions(fields);
     Headers out;
--- a/src/http.cpp
+++ b/src/http.cpp
@@ -18,13 +18,13 @@
     return req;
 }
 
-std::optional<Millis> backOffAskedFor(unsigned status, std::string_view retryAfter)
+std::optional<Millis> requestedBackOff(unsigned status, std::string_view retryAfter)
 {
     constexpr double maxSeconds = 3600; // a wrong value from a peer must not exclude it for good
     if (status != 429 && status != 503) {
         return std::nullopt;
     }
-    const auto seconds = text::number<double>(retryAfter);
+    const auto seconds = text::parseNumber<double>(retryAfter);
     if (!seconds || !(*seconds > 0)) {
         return std::nullopt;
     }
@@ -37,7 +37,7 @@
     if (colon == std::string_view::npos || colon == 0) {
         return std::nullopt;
     }
-    const auto port = text::number<uint16_t>(text.substr(colon + 1));
+    const auto port = text::parseNumber<uint16_t>(text.substr(colon + 1));
     if (!port) {
         return std::nullopt;
     }
--- a/src/http.h
+++ b/src/http.h
@@ -42,7 +42,7 @@
 struct CallError {
     CallStage stage = CallStage::Connect;
     std::string message;
-    bool reused = false; ///< the request was sent on a kept connection
+    bool reused = false; ///< the request was sent on a keep-alive connection
 };
 
 template <typename T> using CallResult = std::variant<T, CallError>;
@@ -63,7 +63,7 @@
 /// Returns how long a peer asks not to receive further requests: the Retry-After
 /// header, in seconds with an optional fraction, of a 429 or 503 response. At most
 /// one hour. Nothing for other statuses or values.
-std::optional<Millis> backOffAskedFor(unsigned status, std::string_view retryAfter);
+std::optional<Millis> requestedBackOff(unsigned status, std::string_view retryAfter);
 
 /// Builds an HTTP/1.1 request. The content type of a non-empty body is application/json unless the headers set another one.
 Request makeRequest(std::string_view method, std::string_view target, std::string body = {}, const Headers &headers = {});
--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -40,7 +40,7 @@
         return defaultIdleLifetime;
     }
     const auto value = std::string_view(keepAlive).substr(at + timeoutKey.size());
-    const auto seconds = text::number(value.substr(0, value.find_first_not_of("0123456789")));
+    const auto seconds = text::parseNumber(value.substr(0, value.find_first_not_of("0123456789")));
     return seconds ? Millis(static_cast<int64_t>(idleTimeoutShare * 1000.0 * static_cast<double>(*seconds))) : defaultIdleLifetime;
 }
 
@@ -56,9 +56,9 @@
     return {};
 }
 
-void Cancellation::fire()
+void Cancellation::cancel()
 {
-    m_fired = true;
+    m_cancelled = true;
     if (m_action) {
         m_action();
     }
@@ -118,7 +118,7 @@
 
 Headers Response::endToEndHeaders() const
 {
-    return endToEnd(m_parser->get());
+    return endToEndFields(m_parser->get());
 }
 
 void Response::setDeadline(Clock::time_point deadline)
@@ -136,7 +136,7 @@
     const bool clean = m_reusable && m_connection && !m_connection->writing && m_connection->buffer.size() == 0;
     if (clean && m_parser->get().keep_alive()) {
         m_connection->closeDeadline = Clock::now() + idleLifetime(header("keep-alive"));
-        m_client.addIdle(m_peer, std::move(m_connection), m_options.mostKept);
+        m_client.addIdle(m_peer, std::move(m_connection), m_options.maxIdleConnections);
     } else if (m_connection) {
         m_connection->stream.close();
     }
@@ -160,7 +160,7 @@
     co_return std::nullopt;
 }
 
-Task<std::optional<CallError>> Response::skipToNext()
+Task<std::optional<CallError>> Response::skipToNextResponse()
 {
     m_reusable = false;
     for (bool more = true; more;) {
@@ -265,13 +265,13 @@
     }
 }
 
-void Client::closeKept(asio::execution_context &loop, const Address &peer)
+void Client::closeIdleConnections(asio::execution_context &loop, const Address &peer)
 {
     std::lock_guard lock(m_mutex);
     m_idle.erase({&loop, peer});
 }
 
-std::size_t Client::keptConnections()
+std::size_t Client::idleConnections()
 {
     std::lock_guard lock(m_mutex);
     std::size_t n = 0;
@@ -324,24 +324,24 @@
         request.set(bhttp::field::host, to.host + ":" + std::to_string(to.port));
     }
     request.prepare_payload();
-    if (options.cancellation && options.cancellation->fired()) {
+    if (options.cancellation && options.cancellation->isCancelled()) {
         co_return CallError{CallStage::Connect, "cancelled"};
     }
-    auto idle = options.reuse == Reuse::Never ? nullptr : takeIdle(ex, to);
+    auto idle = options.reuse == ConnectionReuse::Never ? nullptr : takeIdle(ex, to);
     if (idle) {
         auto response = std::make_unique<Response>(*this, to, std::move(idle), options);
         response->m_reused = true;
-        if (options.reuse == Reuse::Kept) {
+        if (options.reuse == ConnectionReuse::KeepAlive) {
             auto result = co_await exchange(std::move(response), std::move(request));
             co_return std::move(result);
         }
         Request copy = request;
         auto result = co_await exchange(std::move(response), std::move(copy));
-        const bool cancelled = options.cancellation && options.cancellation->fired();
+        const bool cancelled = options.cancellation && options.cancellation->isCancelled();
         if (std::holds_alternative<std::unique_ptr<Response>>(result) || cancelled || Clock::now() >= options.deadline) {
             co_return std::move(result);
         }
-        // The kept connection was stale: send the request again on a new one.
+        // The idle connection was stale: send the request again on a new one.
     }
     auto response = std::make_unique<Response>(*this, to, std::make_shared<ClientConnection>(ex), options);
     auto failed = co_await connect(*response->m_connection, to, options);
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -29,13 +29,13 @@
     std::string header(std::string_view name) const;
 };
 
-/// Which connection a request is sent on. The peer may close a kept (idle)
-/// connection while a request is in transit; it is then unknown whether the
+/// Which connection a request is sent on. The peer may close an idle
+/// keep-alive connection while a request is in transit; it is then unknown whether the
 /// request ran.
-enum class Reuse {
+enum class ConnectionReuse {
     Never, ///< always a new connection
-    Kept, ///< a kept connection if there is one; its failure fails the call
-    KeptOrAgain, ///< like Kept, but if the kept connection fails, the request is resent once on a new one: for idempotent requests only
+    KeepAlive, ///< an idle connection if there is one; its failure fails the call
+    KeepAliveWithRetry, ///< like KeepAlive, but if the idle connection fails, the request is resent once on a new one: for idempotent requests only
 };
 
 /// Lets the owner of a call abort it, from the event loop that the call runs on.
@@ -43,26 +43,26 @@
 {
 public:
     /// Closes the call's connection, and makes later calls with this object fail at once.
-    void fire();
-    bool fired() const
+    void cancel();
+    bool isCancelled() const
     {
-        return m_fired;
+        return m_cancelled;
     }
 
 private:
     friend class Client;
     friend class Response;
     std::function<void()> m_action;
-    bool m_fired = false;
+    bool m_cancelled = false;
 };
 
 /// Options of one call.
 struct CallOptions {
     Clock::time_point deadline;
-    Reuse reuse = Reuse::Never;
+    ConnectionReuse reuse = ConnectionReuse::Never;
     Cancellation *cancellation = nullptr; ///< must outlive the call and its Response
     Millis connectTimeout{1000}; ///< bounds the wait for a peer that does not answer a SYN
-    std::size_t mostKept = 32; ///< maximum number of idle connections kept to the peer
+    std::size_t maxIdleConnections = 32; ///< maximum number of idle connections kept to the peer
 };
 
 /// A client connection, in use or idle.
@@ -101,7 +101,7 @@
     /// Reads this response to its end, then the head of the next one on the
     /// connection: for a late response that belongs to an earlier request. The
     /// connection is not kept. Returns an error if the connection breaks.
-    Task<std::optional<CallError>> skipToNext();
+    Task<std::optional<CallError>> skipToNextResponse();
 
     /// Sets the deadline of all further reads.
     void setDeadline(Clock::time_point deadline);
@@ -153,9 +153,9 @@
     /// loop's thread; the client also calls it itself, at most once per second.
     void closeIdle(asio::execution_context &loop, Clock::time_point now);
     /// Number of idle connections over all event loops and peers.
-    std::size_t keptConnections();
+    std::size_t idleConnections();
     /// Closes all idle connections of an event loop to a peer. Must be called on the loop's thread.
-    void closeKept(asio::execution_context &loop, const Address &peer);
+    void closeIdleConnections(asio::execution_context &loop, const Address &peer);
 
 private:
     friend class Response;
--- a/src/http_exchange.cpp
+++ b/src/http_exchange.cpp
@@ -52,14 +52,14 @@
     return fallback;
 }
 
-void Exchange::markCallerGone()
+void Exchange::markCallerDisconnected()
 {
-    if (m_callerGone) {
+    if (m_callerDisconnected) {
         return;
     }
-    m_callerGone = true;
-    if (m_onCallerGone) {
-        m_onCallerGone();
+    m_callerDisconnected = true;
+    if (m_onCallerDisconnect) {
+        m_onCallerDisconnect();
     }
 }
 
@@ -68,7 +68,7 @@
 {
     m_stream.expires_never();
     if (ec) {
-        markCallerGone();
+        markCallerDisconnected();
     }
 }
 
@@ -98,25 +98,25 @@
     m_stream.expires_after(m_writeTimeout);
     co_await bhttp::async_write_header(m_stream, serializer, asio::redirect_error(asio::use_awaitable, ec));
     finishWrite(ec);
-    co_return !m_callerGone;
+    co_return !m_callerDisconnected;
 }
 
 Task<bool> Exchange::sendChunk(std::string data)
 {
-    if (m_callerGone || data.empty()) {
-        co_return !m_callerGone;
+    if (m_callerDisconnected || data.empty()) {
+        co_return !m_callerDisconnected;
     }
     const auto body = asio::buffer(data);
     boost::system::error_code ec;
     m_stream.expires_after(m_writeTimeout);
     co_await asio::async_write(m_stream, bhttp::make_chunk(body), asio::redirect_error(asio::use_awaitable, ec));
     finishWrite(ec);
-    co_return !m_callerGone;
+    co_return !m_callerDisconnected;
 }
 
 Task<void> Exchange::endStream()
 {
-    if (m_callerGone) {
+    if (m_callerDisconnected) {
         co_return;
     }
     boost::system::error_code ec;
@@ -125,10 +125,10 @@
     finishWrite(ec);
 }
 
-void Exchange::drop()
+void Exchange::abort()
 {
     m_answered = true;
-    m_callerGone = true;
+    m_callerDisconnected = true;
     boost::system::error_code ec;
     m_stream.socket().shutdown(tcp::socket::shutdown_both, ec);
 }
--- a/src/http_exchange.h
+++ b/src/http_exchange.h
@@ -46,36 +46,36 @@
     /// Sends the last chunk, which marks the response as complete.
     Task<void> endStream();
     /// Shuts the connection down without completing the response, so that the caller sees it as truncated.
-    void drop();
+    void abort();
 
     /// True once any part of a response was passed to the connection.
     bool answered() const
     {
         return m_answered;
     }
-    /// True if the caller has disconnected or drop() was called.
-    bool callerGone() const
+    /// True if the caller has disconnected or abort() was called.
+    bool callerDisconnected() const
     {
-        return m_callerGone;
+        return m_callerDisconnected;
     }
     /// Sets a function to call when the caller disconnects before the response is complete.
-    void onCallerGone(std::function<void()> action)
+    void onCallerDisconnect(std::function<void()> action)
     {
-        m_onCallerGone = std::move(action);
+        m_onCallerDisconnect = std::move(action);
     }
 
 private:
     friend class Server;
-    void markCallerGone();
+    void markCallerDisconnected();
     void finishWrite(const boost::system::error_code &ec);
 
     boost::beast::tcp_stream &m_stream;
     const Request &m_request;
-    std::function<void()> m_onCallerGone;
+    std::function<void()> m_onCallerDisconnect;
     bool m_keepAlive;
     Millis m_writeTimeout;
     bool m_answered = false;
-    bool m_callerGone = false;
+    bool m_callerDisconnected = false;
 };
 
 } // namespace yucca::http
--- a/src/http_server.cpp
+++ b/src/http_server.cpp
@@ -251,7 +251,7 @@
     if (failed && !exchange.answered()) {
         co_await exchange.reply(500, R"({"error":{"message":"internal error","type":"internal"}})");
     }
-    if (!exchange.answered() || exchange.callerGone()) {
+    if (!exchange.answered() || exchange.callerDisconnected()) {
         c->stream.close();
     }
     co_return keepAlive && c->stream.socket().is_open();
@@ -264,7 +264,7 @@
     auto &socket = c->stream.socket();
     socket.async_wait(tcp::socket::wait_read, [c, exchange](const boost::system::error_code &ec) {
         if (*exchange && (ec || peerClosed(c->stream.socket()))) {
-            (*exchange)->markCallerGone();
+            (*exchange)->markCallerDisconnected();
         }
     });
 }
--- a/src/http_server.h
+++ b/src/http_server.h
@@ -43,7 +43,7 @@
     void setLimits(const ServerLimits &limits);
     /// From now on each response asks the caller to close its connection.
     /// Requests are still accepted until stopAccepting().
-    void askCallersToLeave()
+    void closeConnectionsAfterResponses()
     {
         m_closeAfterResponse = true;
     }
--- a/src/idempotency.cpp
+++ b/src/idempotency.cpp
@@ -40,7 +40,7 @@
 {
 }
 
-void Guard::noteEpoch(store::Epoch epoch, Clock::time_point now)
+void Guard::recordEpoch(store::Epoch epoch, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
     if (epoch > m_epoch) {
@@ -54,12 +54,12 @@
 // run, and its record may be lost.
 bool Guard::claimsSuspended(Clock::time_point now)
 {
-    noteEpoch(m_api.epoch(), now);
+    recordEpoch(m_api.epoch(), now);
     std::lock_guard lock(m_mutex);
     return now < m_claimsResumeAt;
 }
 
-// Keeps a copy of a record that this router wrote, for restoreLost().
+// Keeps a copy of a record that this router wrote, for rewriteLostRecords().
 void Guard::addRecent(const std::string &name, const nlohmann::json &value)
 {
     const auto now = Clock::now();
@@ -81,7 +81,7 @@
 // Returns the recent records once after each restore of the store; else nothing.
 std::map<std::string, Guard::RecentRecord> Guard::takeRecordsToRestore(Clock::time_point now)
 {
-    noteEpoch(m_api.epoch(), now);
+    recordEpoch(m_api.epoch(), now);
     std::lock_guard lock(m_mutex);
     if (!m_restorePending) {
         return {};
@@ -90,7 +90,7 @@
     return m_recentRecords;
 }
 
-Task<void> Guard::restoreLost()
+Task<void> Guard::rewriteLostRecords()
 {
     for (const auto &[name, recent] : takeRecordsToRestore(Clock::now())) {
         auto written = co_await rewriteRecord(name, recent.value);
@@ -130,7 +130,7 @@
         }
     }
     // The hash distinguishes keys that differ only in replaced characters. As a
-    // prefix it also spreads the names evenly, so that a sweep (duties.h) may
+    // prefix it also spreads the names evenly, so that a sweep (background_tasks.h) may
     // start at a random name.
     char prefix[20];
     snprintf(prefix, sizeof prefix, "%016llx.", static_cast<unsigned long long>(ring::hash(workspace + "\n" + key)));
--- a/src/idempotency.h
+++ b/src/idempotency.h
@@ -44,7 +44,7 @@
 struct RestoreOptions {
     /// No claims are granted for this long after this router learns of the
     /// restore, while the other routers rewrite their lost records. Each learns
-    /// of the restore within one watch wait, 2 s.
+    /// of the restore within one watch timeout, 2 s.
     Millis claimPauseAfterRestore{5000};
     Millis recentRecordAge{std::chrono::minutes(1)}; ///< records older than this may be dropped; backups are seconds old
     std::size_t maxRecentRecords = 20000; ///< about 400 B each; the oldest are dropped first
@@ -76,10 +76,10 @@
 
     /// Takes an epoch that the store gave to another client of this process. A higher
     /// epoch than known means that the store was restored. From any thread.
-    void noteEpoch(store::Epoch epoch, Clock::time_point now);
+    void recordEpoch(store::Epoch epoch, Clock::time_point now);
     /// After a restore of the store, rewrites the records of this router that it
     /// lost; else does nothing. When the store fails, the next call tries again.
-    Task<void> restoreLost();
+    Task<void> rewriteLostRecords();
 
     /// Returns the URL-safe record name of a workspace's key.
     static std::string recordName(const std::string &workspace, const std::string &key);
--- a/src/load_exchange.cpp
+++ b/src/load_exchange.cpp
@@ -60,7 +60,7 @@
     return true;
 }
 
-Task<void> LoadExchange::followPeers()
+Task<void> LoadExchange::runPeerRefresh()
 {
     // Spreads the listings of routers that start together.
     co_await sleepFor(Millis(m_random() % startJitter.count()));
@@ -79,7 +79,7 @@
         co_return false;
     }
     if (++m_listings >= 2) {
-        m_listedRouters = m_directory.domainPeers().size() + m_directory.otherDomainPeers().size() + 1;
+        m_listedRouterCount = m_directory.domainPeers().size() + m_directory.otherDomainPeers().size() + 1;
         publishRouters();
     }
     std::set<http::Address> listed;
@@ -127,12 +127,12 @@
     return heard == m_lastHeardAt.end() || now - heard->second > m_options.peerSilentAfter;
 }
 
-void LoadExchange::share(std::vector<replica::SharedReplica *> replicas)
+void LoadExchange::shareReplicas(std::vector<replica::SharedReplica *> replicas)
 {
     m_replicas = std::move(replicas);
     for (auto *replica : m_replicas) {
-        replica->onNews = [this] {
-            tellSoon();
+        replica->onChange = [this] {
+            requestRound();
         };
     }
 }
@@ -156,20 +156,20 @@
     if (m_neighbours.empty() || now - m_neighbourHeardAt > m_options.neighbourSilentAfter) {
         return std::nullopt;
     }
-    const auto peersPerRound = std::min(m_neighbours.size(), m_options.mostNearTold);
-    const auto silence = std::max<Clock::duration>(m_options.neighbourSilentAfter, m_options.every * 3 * m_neighbours.size() / peersPerRound);
+    const auto peersPerRound = std::min(m_neighbours.size(), m_options.maxDomainPeersPerRound);
+    const auto silence = std::max<Clock::duration>(m_options.neighbourSilentAfter, m_options.roundInterval * 3 * m_neighbours.size() / peersPerRound);
     return static_cast<std::size_t>(std::count_if(m_neighbours.begin(), m_neighbours.end(), [&](const Peer &peer) {
         const auto heard = m_lastHeardAt.find(peer.address);
         return peer.id < m_self.id && heard != m_lastHeardAt.end() && now - heard->second <= silence;
     }));
 }
 
-Task<void> LoadExchange::tell()
+Task<void> LoadExchange::runSender()
 {
     const auto ex = co_await asio::this_coro::executor;
     while (!m_stopping) {
-        const auto next = Clock::now() + m_options.every;
-        co_await sleepFor(m_options.newsAfter);
+        const auto next = Clock::now() + m_options.roundInterval;
+        co_await sleepFor(m_options.minRoundInterval);
         if (!m_updatePending) {
             co_await m_updateNotifier.wait(next);
         }
@@ -197,35 +197,35 @@
 Task<void> LoadExchange::sendRound()
 {
     const auto now = Clock::now();
-    Digest digest;
-    digest.loads = m_table.heardSince(m_sentUpTo);
+    PeerMessage message;
+    message.loads = m_table.reportsReceivedSince(m_sentUpTo);
     m_sentUpTo = now;
-    countHeardPeers(now);
-    digest.prompts = m_table.takePromptNews(mostPrompts);
+    countActivePeers(now);
+    message.prompts = m_table.takePromptAnnouncements(maxPrompts);
     const bool keepaliveRound = m_round++ % silentPeerRounds == 0;
-    const bool nothingHeard = digest.loads.empty() && digest.prompts.empty();
+    const bool nothingHeard = message.loads.empty() && message.prompts.empty();
     for (const auto *replica : m_replicas) {
         if (auto confirmation = replica->currentConfirmation()) {
-            digest.confirmations.push_back(std::move(*confirmation));
+            message.confirmations.push_back(std::move(*confirmation));
         }
     }
-    const auto near = randomPeers(m_directory.domainPeers(), m_options.mostNearTold, keepaliveRound, now);
-    if (!nothingHeard || !digest.confirmations.empty() || keepaliveRound) {
-        co_await send(near, digest, now);
+    const auto near = randomPeers(m_directory.domainPeers(), m_options.maxDomainPeersPerRound, keepaliveRound, now);
+    if (!nothingHeard || !message.confirmations.empty() || keepaliveRound) {
+        co_await send(near, message, now);
     }
     const bool smallFleet = m_neighbours.size() > m_directory.domainPeers().size();
     if (!smallFleet) {
-        digest.confirmations.clear();
+        message.confirmations.clear();
     }
-    if (!nothingHeard || !digest.confirmations.empty() || keepaliveRound) {
-        co_await send(randomPeers(m_directory.otherDomainPeers(), m_options.maxPeersPerRound - near.size(), keepaliveRound, now), digest, now);
+    if (!nothingHeard || !message.confirmations.empty() || keepaliveRound) {
+        co_await send(randomPeers(m_directory.otherDomainPeers(), m_options.maxPeersPerRound - near.size(), keepaliveRound, now), message, now);
     }
-    co_await sendEndings(keepaliveRound, now);
+    co_await sendCrashRecords(keepaliveRound, now);
 }
 
-Task<void> LoadExchange::send(const std::vector<Peer> &receivers, const Digest &digest, Clock::time_point now)
+Task<void> LoadExchange::send(const std::vector<Peer> &receivers, const PeerMessage &message, Clock::time_point now)
 {
-    const auto datagram = encode(digest, now);
+    const auto datagram = encode(message, now);
     for (const auto &peer : receivers) {
         boost::system::error_code ec;
         const auto address = asio::ip::make_address(peer.address.host, ec);
@@ -237,7 +237,7 @@
     }
 }
 
-Task<void> LoadExchange::hear()
+Task<void> LoadExchange::runReceiver()
 {
     const auto ex = co_await asio::this_coro::executor;
     std::array<uint8_t, maxDatagramBytes> buffer;
@@ -250,14 +250,14 @@
         boost::system::error_code ec;
         const auto n = co_await m_socket->async_receive_from(asio::buffer(buffer), from, asio::redirect_error(asio::use_awaitable, ec));
         if (ec && !m_stopping) {
-            co_await sleepFor(m_options.every); // an earlier datagram of this router was rejected by its receiver's host
+            co_await sleepFor(m_options.roundInterval); // an earlier datagram of this router was rejected by its receiver's host
             continue;
         }
-        take({buffer.data(), n}, {from.address().to_string(), from.port()}, Clock::now());
+        handleDatagram({buffer.data(), n}, {from.address().to_string(), from.port()}, Clock::now());
     }
 }
 
-void LoadExchange::take(std::span<const uint8_t> datagram, const http::Address &from, Clock::time_point now)
+void LoadExchange::handleDatagram(std::span<const uint8_t> datagram, const http::Address &from, Clock::time_point now)
 {
     const auto heard = m_lastHeardAt.find(from);
     if (heard == m_lastHeardAt.end()) {
@@ -269,22 +269,22 @@
         return;
     }
     heard->second = now;
-    const auto &digest = std::get<Digest>(decoded);
-    for (const auto &report : digest.loads) {
-        m_table.toldOf(report);
+    const auto &message = std::get<PeerMessage>(decoded);
+    for (const auto &report : message.loads) {
+        m_table.mergePeerReport(report);
     }
-    for (const auto &news : digest.prompts) {
-        m_table.toldOfPrompt(news, now);
+    for (const auto &announcement : message.prompts) {
+        m_table.mergePeerPrompt(announcement, now);
     }
     if (m_quarantine) {
-        for (const auto &record : digest.endings) {
-            m_quarantine->told(record, now);
+        for (const auto &record : message.crashes) {
+            m_quarantine->merge(record, now);
         }
-        for (const auto &suspicion : digest.suspicions) {
-            m_quarantine->told(suspicion, now);
+        for (const auto &suspicion : message.suspicions) {
+            m_quarantine->merge(suspicion, now);
         }
-        for (const auto &answer : digest.answers) {
-            m_quarantine->told(answer);
+        for (const auto &answer : message.answers) {
+            m_quarantine->merge(answer);
         }
     }
     const auto neighbour = std::find_if(m_neighbours.begin(), m_neighbours.end(), [&from](const Peer &peer) {
@@ -294,7 +294,7 @@
         return;
     }
     m_neighbourHeardAt = now;
-    for (const auto &confirmation : digest.confirmations) {
+    for (const auto &confirmation : message.confirmations) {
         dispatchConfirmation(confirmation, *neighbour, now);
     }
 }
@@ -308,7 +308,7 @@
     }
 }
 
-bool LoadExchange::firstByName(Clock::time_point now) const
+bool LoadExchange::isFirstByName(Clock::time_point now) const
 {
     const auto before = [&](const Peer &peer) {
         return peer.id < m_self.id && !isSilent(peer, now);
@@ -327,10 +327,10 @@
     }
 }
 
-void LoadExchange::countHeardPeers(Clock::time_point now)
+void LoadExchange::countActivePeers(Clock::time_point now)
 {
     const auto &peers = m_directory.domainPeers();
-    m_heardPeers = static_cast<std::size_t>(std::count_if(peers.begin(), peers.end(), [&](const Peer &peer) {
+    m_activePeerCount = static_cast<std::size_t>(std::count_if(peers.begin(), peers.end(), [&](const Peer &peer) {
         return !isSilent(peer, now);
     }));
 }
--- a/src/load_exchange.h
+++ b/src/load_exchange.h
@@ -3,9 +3,9 @@
 // endpoint only about every ten seconds; all routers of the domain together get one within a second.
 #pragma once
 
-#include "load_digest.h"
 #include "notifier.h"
 #include "peer_directory.h"
+#include "peer_message.h"
 #include "router_core.h"
 
 #include <boost/asio/ip/udp.hpp>
@@ -21,26 +21,26 @@
 struct ExchangeOptions {
     /// Interval between rounds of datagrams. Without the exchange, far more requests exceed the load bound in the worst seconds, and
     /// with rounds of 1 s still about twice as many as with this interval.
-    Millis every{300};
+    Millis roundInterval{300};
     /// Peers that receive a round's datagrams, drawn at random: 12 x 3.3 datagrams/s of about 80 B are 3 KB/s, of the 5 KB/s that a
     /// router may spend on control traffic.
     std::size_t maxPeersPerRound = 12;
     /// Of these, peers of the same failure domain, where loads are most useful and bytes are cheapest. The remaining datagrams go to
     /// other domains.
-    std::size_t mostNearTold = 8;
+    std::size_t maxDomainPeersPerRound = 8;
     Millis refreshInterval{10000}; ///< between reads of the list of routers
     Millis firstRefreshDelay{1200}; ///< after the first read; routers that started together are all listed by then
     Millis retryDelay{5000}; ///< after the store could not be reached, or the socket could not be bound
     Millis peerSilentAfter{10000}; ///< a peer not heard for this long gets datagrams in one round of ten only
     Millis entryRemovedAfter{std::chrono::minutes(10)}; ///< the store entry of a peer not heard for this long is removed
     /// Minimum interval between rounds. Changes of the store's objects are sent after it, before the next regular round is due.
-    Millis newsAfter{30};
+    Millis minRoundInterval{30};
     /// A neighbour counts among the routers that query the store if it was heard within this time, or within three times the average
     /// interval between its datagrams to a given router.
     Millis neighbourSilentAfter{2000};
-    /// Number of routers that count the endings of one request; every router selects the same ones. Three, because any of them may
+    /// Number of routers that count the crashes under one request; every router selects the same ones. Three, because any of them may
     /// be restarted or unreachable.
-    std::size_t endingCounters = 3;
+    std::size_t crashCounterRouters = 3;
     Millis warningInterval{10000}; ///< minimum interval between warnings about the socket or about malformed datagrams
 };
 
@@ -51,42 +51,42 @@
     LoadExchange(platform::ObjectApi &api, Peer self, router::RoutingTable &table, ExchangeOptions options = {});
 
     /// Refreshes the list of peers and announces this router, until stop() is called.
-    Task<void> followPeers();
+    Task<void> runPeerRefresh();
     /// Sends datagrams to peers, until stop() is called.
-    Task<void> tell();
+    Task<void> runSender();
     /// Receives datagrams from peers, until stop() is called.
-    Task<void> hear();
+    Task<void> runReceiver();
     void stop();
 
     /// Processes one datagram. A datagram from an address that is not listed as a peer's is ignored.
-    void take(std::span<const uint8_t> datagram, const http::Address &from, Clock::time_point now);
+    void handleDatagram(std::span<const uint8_t> datagram, const http::Address &from, Clock::time_point now);
     /// Returns the number of recently heard peers of the failure domain; callable from any thread.
-    std::size_t heardPeers() const
+    std::size_t activePeerCount() const
     {
-        return m_heardPeers;
+        return m_activePeerCount;
     }
     /// Returns the number of routers listed in the store, including this one; callable from any thread. It is 0 until the second
     /// listing, because routers that start together are not all in the first one.
-    std::size_t listedRouters() const
+    std::size_t listedRouterCount() const
     {
-        return m_listedRouters;
+        return m_listedRouterCount;
     }
     /// Returns true if no recently heard router has a name before this one's. Tasks that only one router of the fleet must do are that
     /// router's.
-    bool firstByName(Clock::time_point now) const;
+    bool isFirstByName(Clock::time_point now) const;
     /// Shares the store's confirmations of these kinds with the neighbours. The replicas must outlive the exchange.
-    void share(std::vector<replica::SharedReplica *> replicas);
+    void shareReplicas(std::vector<replica::SharedReplica *> replicas);
     /// Returns the rank by name of this router among the recently heard neighbours, 0 for the first; nothing if none is heard. The
     /// neighbours are the routers of the failure domain, or all routers of a fleet small enough to be reached in one round.
     std::optional<std::size_t> rank(Clock::time_point now) const;
     /// Requests a round before the next regular one is due; called on the exchange's event loop.
-    void tellSoon()
+    void requestRound()
     {
         m_updatePending = true;
         m_updateNotifier.notifyAll();
     }
-    /// Shares with all routers what is known of requests that end endpoints. The quarantine must outlive the exchange.
-    void share(quarantine::RequestQuarantine &quarantine)
+    /// Shares with all routers what is known of requests that crash endpoints. The quarantine must outlive the exchange.
+    void shareQuarantine(quarantine::RequestQuarantine &quarantine)
     {
         m_quarantine = &quarantine;
     }
@@ -98,14 +98,14 @@
     using Udp = asio::ip::udp;
     bool openSocket(const asio::any_io_executor &ex);
     Task<void> sendRound();
-    Task<void> send(const std::vector<Peer> &receivers, const Digest &digest, Clock::time_point now);
-    Task<void> sendEndings(bool includeSilent, Clock::time_point now);
+    Task<void> send(const std::vector<Peer> &receivers, const PeerMessage &message, Clock::time_point now);
+    Task<void> sendCrashRecords(bool includeSilent, Clock::time_point now);
     std::vector<Peer> countersFor(uint64_t content, const std::vector<Peer> &others) const;
     std::vector<Peer> neighbours() const;
     void dispatchConfirmation(const replica::Confirmation &confirmation, const Peer &from, Clock::time_point now);
     void publishRouters();
     Task<void> removeSilentEntries(Clock::time_point now);
-    void countHeardPeers(Clock::time_point now);
+    void countActivePeers(Clock::time_point now);
     void logWarning(const std::string &peer, const std::string &why, Clock::time_point now);
     bool isSilent(const Peer &peer, Clock::time_point now) const;
     std::vector<Peer> randomPeers(const std::vector<Peer> &peers, std::size_t maxCount, bool includeSilent, Clock::time_point now);
@@ -113,7 +113,7 @@
     Peer m_self;
     router::RoutingTable &m_table;
     ExchangeOptions m_options;
-    Directory m_directory;
+    PeerDirectory m_directory;
     std::optional<Udp::socket> m_socket;
     std::map<http::Address, Clock::time_point> m_lastHeardAt; ///< by sender; the time of the first listing for a sender not heard yet
     std::vector<Peer> m_neighbours; ///< sorted by name
@@ -126,8 +126,8 @@
     uint64_t m_round = 0;
     Clock::time_point m_warnedAt{};
     std::minstd_rand m_random{std::random_device{}()};
-    std::atomic<std::size_t> m_heardPeers{0};
-    std::atomic<std::size_t> m_listedRouters{0};
+    std::atomic<std::size_t> m_activePeerCount{0};
+    std::atomic<std::size_t> m_listedRouterCount{0};
     int m_listings = 0;
     bool m_stopping = false;
 };
--- a/src/member_state.h
+++ b/src/member_state.h
@@ -12,7 +12,7 @@
 {
 
 // Returns the member's score for a key in rendezvous hashing; the highest score ranks first. Mixes both with the finalizer of SplitMix64.
-inline uint64_t rank(uint64_t member, uint64_t key)
+inline uint64_t rendezvousScore(uint64_t member, uint64_t key)
 {
     uint64_t x = member ^ (key * 0x9e3779b97f4a7c15ULL);
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -22,7 +22,7 @@
 
 // Maps per-member state to a new sorted member list: remaining members keep their state, new members get a default-constructed one.
 template <typename State>
-std::vector<State> carryOver(const std::vector<std::string> &oldIds, const std::vector<State> &old, const std::vector<std::string> &newIds)
+std::vector<State> remapMemberState(const std::vector<std::string> &oldIds, const std::vector<State> &old, const std::vector<std::string> &newIds)
 {
     std::vector<State> out(newIds.size());
     for (std::size_t i = 0; i < newIds.size(); ++i) {
@@ -34,8 +34,8 @@
     return out;
 }
 
-// Returns the hashes by which rank() scores members, in the order of the ids.
-inline std::vector<uint64_t> hashesOf(const std::vector<std::string> &ids)
+// Returns the hashes by which rendezvousScore() scores members, in the order of the ids.
+inline std::vector<uint64_t> memberHashes(const std::vector<std::string> &ids)
 {
     std::vector<uint64_t> hashes(ids.size());
     std::transform(ids.begin(), ids.end(), hashes.begin(), [](const std::string &id) {
--- a/src/object_api.cpp
+++ b/src/object_api.cpp
@@ -33,7 +33,7 @@
             {"zone", e.zone},
             {"kind", nameOf(endpointKindNames, e.kind)},
             {"state", nameOf(endpointStateNames, e.state)},
-            {"born", e.born}};
+            {"born", e.startedAtMs}};
 }
 
 Endpoint endpointFromJson(const nlohmann::json &j)
@@ -44,7 +44,7 @@
     e.port = j.value("port", uint16_t{0});
     e.pool = j.value("pool", "");
     e.zone = j.value("zone", "");
-    e.born = j.value("born", int64_t{0});
+    e.startedAtMs = j.value("born", int64_t{0});
     e.kind = parseName(endpointKindNames, j.value("kind", "engine")).value_or(EndpointKind::Engine);
     e.state = parseName(endpointStateNames, j.value("state", "live")).value_or(EndpointState::Live);
     return e;
--- a/src/object_api.h
+++ b/src/object_api.h
@@ -23,7 +23,7 @@
 inline constexpr const char *vmKind = "vm";
 
 /// Time allowed for a watch's answer after its timeout: the store answers in 4 ms, links take 1 ms.
-inline constexpr Millis watchMargin{700};
+inline constexpr Millis watchResponseMargin{700};
 
 /// The object API. Calls fail with the codes of store.h: 404, 409, 410, 429 (rate limited), 503 (unavailable: the call had no
 /// effect) and 504 (answer lost: the call may have taken effect).
@@ -37,11 +37,11 @@
     /// Writes an object. ifVersion: absent = unconditional, 0 = create only, N = only at version N. Returns the object written.
     virtual Task<Result<Object>> put(std::string kind, std::string name, nlohmann::json value, std::optional<uint64_t> ifVersion) = 0;
     virtual Task<Result<Object>> remove(std::string kind, std::string name, std::optional<uint64_t> ifVersion) = 0;
-    /// Returns the changes of a kind after the revision from, waiting up to timeout for the first one. Firing the cancellation ends the
-    /// wait with an error.
+    /// Returns the changes of a kind after the revision from, waiting up to timeout for the first one. Cancellation ends the wait
+    /// with an error.
     virtual Task<Result<WatchBatch>> watch(std::string kind, uint64_t from, Millis timeout, Freshness freshness, http::Cancellation *cancellation) = 0;
     /// Returns true if the store answers calls, using the cheapest call it offers.
-    virtual Task<bool> answers(std::string kind) = 0;
+    virtual Task<bool> isReachable(std::string kind) = 0;
     /// Returns the highest epoch seen in any answer, including failed calls; callable from any thread.
     virtual store::Epoch epoch() const
     {
--- a/src/observed_load.cpp
+++ b/src/observed_load.cpp
@@ -8,12 +8,12 @@
 namespace yucca::placement
 {
 
-uint64_t rankOf(const std::string &memberId, uint64_t key)
+uint64_t rendezvousScoreOf(const std::string &memberId, uint64_t key)
 {
-    return rank(ring::hash(memberId), key);
+    return rendezvousScore(ring::hash(memberId), key);
 }
 
-void ObservedLoad::reported(int64_t load, TimePoint now)
+void ObservedLoad::recordLoadReport(int64_t load, TimePoint now)
 {
     if (now < m_reportedAt) {
         return;
@@ -69,9 +69,9 @@
 void ObservedMembers::setMembers(std::vector<std::string> ids)
 {
     std::sort(ids.begin(), ids.end());
-    m_loads = carryOver(m_ids, m_loads, ids);
+    m_loads = remapMemberState(m_ids, m_loads, ids);
     m_ids = std::move(ids);
-    m_hashes = hashesOf(m_ids);
+    m_hashes = memberHashes(m_ids);
 }
 
 double ObservedMembers::serviceMeanLoad(TimePoint now, std::chrono::duration<double> lifetime) const
@@ -81,19 +81,19 @@
     return members > 0 ? mean * members / (members + static_cast<double>(m_idleCount)) : 0;
 }
 
-void ObservedMembers::placed(std::size_t member, TimePoint)
+void ObservedMembers::requestStarted(std::size_t member, TimePoint)
 {
-    m_loads[member].placed();
+    m_loads[member].requestStarted();
 }
 
-void ObservedMembers::finished(std::size_t member, TimePoint)
+void ObservedMembers::requestFinished(std::size_t member, TimePoint)
 {
-    m_loads[member].finished();
+    m_loads[member].requestFinished();
 }
 
-void ObservedMembers::reported(std::size_t member, int64_t load, TimePoint now)
+void ObservedMembers::recordLoadReport(std::size_t member, int64_t load, TimePoint now)
 {
-    m_loads[member].reported(load, now);
+    m_loads[member].recordLoadReport(load, now);
 }
 
 } // namespace yucca::placement
--- a/src/orders.cpp
+++ b/src/orders.cpp
@@ -30,7 +30,7 @@
     if (!m_lease.held()) {
         co_return OrderResult::NotHolder;
     }
-    if (m_quarantine.heldUntil(contentKey(order), Clock::now())) {
+    if (m_quarantine.quarantinedUntil(contentKey(order), Clock::now())) {
         co_return OrderResult::Quarantined;
     }
     const std::string key = order.engine + "/" + order.id;
@@ -51,23 +51,23 @@
         co_await m_guard.settle(claim, idempotency::Guard::released(claim));
         co_return OrderResult::NotHolder;
     }
-    const Ack ack = co_await m_sender(order, m_lease.fence());
-    switch (ack) {
-    case Ack::Applied:
-        m_quarantine.answered(contentKey(order), Clock::now());
+    const SendResult sendResult = co_await m_sender(order, m_lease.fence());
+    switch (sendResult) {
+    case SendResult::Applied:
+        m_quarantine.recordCompleteResponse(contentKey(order), Clock::now());
         co_await m_guard.settleEventually(claim, idempotency::Guard::completed(claim, appliedStatus, ""));
         co_return OrderResult::Applied;
-    case Ack::StaleFence:
+    case SendResult::StaleFence:
         // Not applied; the holder with the newer token may send the order itself.
         co_await m_guard.settle(claim, idempotency::Guard::released(claim));
         co_return OrderResult::Refused;
-    case Ack::NotSent:
+    case SendResult::NotSent:
         co_await m_guard.settle(claim, idempotency::Guard::released(claim));
         co_return OrderResult::NotSent;
-    case Ack::EngineEnded:
-        m_quarantine.ended(contentKey(order), ring::hash(order.engine), Clock::now());
-        co_return OrderResult::EngineEnded; // the record stays "started", as for Unknown
-    case Ack::Unknown:
+    case SendResult::EngineCrashed:
+        m_quarantine.recordCrash(contentKey(order), ring::hash(order.engine), Clock::now());
+        co_return OrderResult::EngineCrashed; // the record stays "started", as for Unknown
+    case SendResult::Unknown:
         break; // the engine may have applied it: the record stays "started", so the order is not sent again
     }
     co_return OrderResult::Pending;
--- a/src/orders.h
+++ b/src/orders.h
@@ -38,7 +38,7 @@
     NotHolder, ///< the lease is not held, so nothing was sent
     Pending, ///< another process has claimed it, or its outcome is unknown
     NotSent, ///< the store or the engine could not be reached, or the engine takes no orders now; may be retried
-    EngineEnded, ///< the engine crashed while it ran the order
+    EngineCrashed, ///< the engine crashed while it ran the order
     Quarantined, ///< several engines crashed under the same order, so it is not sent to others for now
 };
 
@@ -47,20 +47,20 @@
                                                              {OrderResult::NotHolder, "not_holder"},
                                                              {OrderResult::Pending, "pending"},
                                                              {OrderResult::NotSent, "not_sent"},
-                                                             {OrderResult::EngineEnded, "engine_ended"},
+                                                             {OrderResult::EngineCrashed, "engine_ended"},
                                                              {OrderResult::Quarantined, "quarantined"}}};
 
 /// The result of sending an order to its engine.
-enum class Ack {
+enum class SendResult {
     Applied,
     StaleFence, ///< refused: the engine has seen a higher fencing token
     NotSent, ///< the engine certainly did not apply it
     Unknown, ///< sent, and the engine may have applied it
-    EngineEnded, ///< sent, and the engine has crashed since
+    EngineCrashed, ///< sent, and the engine has crashed since
 };
 
 /// Sends an order with a fencing token to its engine.
-using Sender = std::function<Task<Ack>(Order, uint64_t fence)>;
+using Sender = std::function<Task<SendResult>(Order, uint64_t fence)>;
 
 /// Sends orders under a lease. An order is claimed in the store before it is
 /// sent, so that only one of two processes that both believe to hold the lease
@@ -75,9 +75,9 @@
     /// Claims the order, sends it to its engine and records the outcome.
     Task<OrderResult> dispatch(Order order);
     /// Rewrites the records of orders that the store lost when it was restored from a backup.
-    Task<void> restoreLost()
+    Task<void> rewriteLostRecords()
     {
-        return m_guard.restoreLost();
+        return m_guard.rewriteLostRecords();
     }
 
 private:
--- a/src/peer_directory.cpp
+++ b/src/peer_directory.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-Task<bool> Directory::refresh()
+Task<bool> PeerDirectory::refresh()
 {
     const auto freshness = m_announceFailed ? platform::Freshness::Current : platform::Freshness::MayLag;
     auto result = co_await platform::listAll(m_api, routerKind, freshness);
@@ -62,7 +62,7 @@
 }
 
 // Writes this router's entry over the expected version, 0 to create it. Returns false and logs the error if the write fails.
-Task<bool> Directory::announce(uint64_t expectedVersion)
+Task<bool> PeerDirectory::announce(uint64_t expectedVersion)
 {
     auto value = entryJson(m_self);
     auto result = co_await m_api.put(routerKind, m_self.id, std::move(value), expectedVersion);
@@ -73,7 +73,7 @@
     co_return ok(result);
 }
 
-Task<void> Directory::removeEntry(Peer peer)
+Task<void> PeerDirectory::removeEntry(Peer peer)
 {
     auto result = co_await m_api.remove(routerKind, peer.id, peer.version);
     if (ok(result)) {
--- a/src/peer_directory.h
+++ b/src/peer_directory.h
@@ -27,10 +27,10 @@
 /// Maintains this router's entry and reads those of the others. Listings may come from a lagging replica, at a tenth of the price
 /// of a current read: a peer that is listed late is only informed late. If the announcement fails, because the replica did not
 /// show an existing entry of this router, the next listing is a current one.
-class Directory
+class PeerDirectory
 {
 public:
-    Directory(platform::ObjectApi &api, Peer self)
+    PeerDirectory(platform::ObjectApi &api, Peer self)
         : m_api(api)
         , m_self(std::move(self))
     {
