--- a/src/load_digest.cpp
+++ b/src/peer_message.cpp
@@ -1,4 +1,4 @@
-#include "load_digest.h"
+#include "peer_message.h"
 
 #include <algorithm>
 #include <map>
@@ -12,8 +12,8 @@
 {
 
 constexpr int64_t maxAgeMs = 60000; ///< older reports are useless
-constexpr int64_t maxEndingAgeMs = 24 * 3600 * 1000; ///< an ending is remembered for a day
-constexpr std::size_t maxEndpointsPerEnding = 16;
+constexpr int64_t maxCrashAgeMs = 24 * 3600 * 1000; ///< a crash is remembered for a day
+constexpr std::size_t maxEndpointsPerCrashRecord = 16;
 constexpr int64_t maxLoad = 1000000;
 constexpr std::size_t maxIdBytes = 200;
 
@@ -31,19 +31,19 @@
         return false;
     }
     out.load = load;
-    out.heardAt = now - Millis(age);
+    out.receivedAt = now - Millis(age);
     return true;
 }
 
 // Reads an endpoint's prompts: [endpoint, [key, ...]].
-bool readPrompts(const json &item, std::vector<PromptNews> &out)
+bool readPrompts(const json &item, std::vector<PromptAnnouncement> &out)
 {
     const bool wellFormed = item.is_array() && item.size() == 2 && item[0].is_string() && item[1].is_array();
     if (!wellFormed || item[0].get_ref<const std::string &>().size() > maxIdBytes) {
         return false;
     }
     for (const auto &key : item[1]) {
-        if (!key.is_number_unsigned() || out.size() == mostPrompts) {
+        if (!key.is_number_unsigned() || out.size() == maxPrompts) {
             return false;
         }
         out.push_back({key.get<uint64_t>(), item[0].get<std::string>()});
@@ -63,11 +63,11 @@
     return true;
 }
 
-// Reads the endpoints that ended under requests with one content: [content, [endpoint, ...], age in ms].
-bool readEndings(const json &item, Clock::time_point now, quarantine::Record &out)
+// Reads the endpoints that crashed while running requests with one content: [content, [endpoint, ...], age in ms].
+bool readCrashRecord(const json &item, Clock::time_point now, quarantine::CrashRecord &out)
 {
     const bool wellFormed = item.is_array() && item.size() == 3 && item[0].is_number_unsigned() && item[1].is_array() && item[2].is_number_unsigned();
-    if (!wellFormed || item[1].empty() || item[1].size() > maxEndpointsPerEnding || item[2].get<uint64_t>() > maxEndingAgeMs) {
+    if (!wellFormed || item[1].empty() || item[1].size() > maxEndpointsPerCrashRecord || item[2].get<uint64_t>() > maxCrashAgeMs) {
         return false;
     }
     out = {item[0].get<uint64_t>(), {}, now - Millis(item[2].get<int64_t>())};
@@ -80,7 +80,7 @@
     return std::is_sorted(out.endpoints.begin(), out.endpoints.end());
 }
 
-// Reads a suspicion of an ending: [content, endpoint, age in ms].
+// Reads a suspicion of a crash: [content, endpoint, age in ms].
 bool readSuspicion(const json &item, Clock::time_point now, quarantine::Suspicion &out)
 {
     const bool wellFormed = item.is_array() && item.size() == 3 && item[0].is_number_unsigned() && item[1].is_number_unsigned() && item[2].is_number_unsigned();
@@ -92,10 +92,10 @@
 }
 
 // Reads an answer to a request: [content, age in ms].
-bool readAnswer(const json &item, Clock::time_point now, quarantine::Answer &out)
+bool readAnswer(const json &item, Clock::time_point now, quarantine::CompleteResponse &out)
 {
     const bool wellFormed = item.is_array() && item.size() == 2 && item[0].is_number_unsigned() && item[1].is_number_unsigned();
-    if (!wellFormed || item[1].get<uint64_t>() > maxEndingAgeMs) {
+    if (!wellFormed || item[1].get<uint64_t>() > maxCrashAgeMs) {
         return false;
     }
     out = {item[0].get<uint64_t>(), now - Millis(item[1].get<int64_t>())};
@@ -111,24 +111,24 @@
 json reportsToJson(std::vector<LoadReport> reports, Clock::time_point now)
 {
     std::sort(reports.begin(), reports.end(), [](const LoadReport &a, const LoadReport &b) {
-        return a.heardAt > b.heardAt;
+        return a.receivedAt > b.receivedAt;
     });
     reports.resize(std::min(reports.size(), maxLoadReports));
     json out = json::array();
     for (const auto &r : reports) {
-        out.push_back({r.endpoint, r.load, ageOf(r.heardAt, now)});
+        out.push_back({r.endpoint, r.load, ageOf(r.receivedAt, now)});
     }
     return out;
 }
 
 } // namespace
 
-std::vector<uint8_t> encode(Digest digest, Clock::time_point now)
+std::vector<uint8_t> encode(PeerMessage message, Clock::time_point now)
 {
-    json out = reportsToJson(std::move(digest.loads), now);
-    const auto &prompts = digest.prompts;
+    json out = reportsToJson(std::move(message.loads), now);
+    const auto &prompts = message.prompts;
     std::map<std::string, std::vector<uint64_t>> byEndpoint;
-    for (std::size_t i = 0; i < std::min(prompts.size(), mostPrompts); ++i) {
+    for (std::size_t i = 0; i < std::min(prompts.size(), maxPrompts); ++i) {
         byEndpoint[prompts[i].endpoint].push_back(prompts[i].prompt);
     }
     for (const auto &[endpoint, keys] : byEndpoint) {
@@ -137,22 +137,22 @@
         item.push_back(keys);
         out.push_back(std::move(item));
     }
-    for (const auto &c : digest.confirmations) {
+    for (const auto &c : message.confirmations) {
         out.push_back({c.kind, c.revision, c.digest, ageOf(c.at, now), c.epoch});
     }
-    for (const auto &e : digest.endings) {
-        out.push_back({e.content, e.endpoints, ageOf(e.lastAt, now, maxEndingAgeMs)});
+    for (const auto &e : message.crashes) {
+        out.push_back({e.content, e.endpoints, ageOf(e.lastAt, now, maxCrashAgeMs)});
     }
-    for (const auto &s : digest.suspicions) {
+    for (const auto &s : message.suspicions) {
         out.push_back({s.content, s.endpoint, ageOf(s.at, now)});
     }
-    for (const auto &a : digest.answers) {
-        out.push_back({a.content, ageOf(a.at, now, maxEndingAgeMs)});
+    for (const auto &a : message.answers) {
+        out.push_back({a.content, ageOf(a.at, now, maxCrashAgeMs)});
     }
     return json::to_cbor(out);
 }
 
-Result<Digest> decode(std::span<const uint8_t> datagram, Clock::time_point now)
+Result<PeerMessage> decode(std::span<const uint8_t> datagram, Clock::time_point now)
 {
     json items;
     try {
@@ -163,18 +163,18 @@
     if (!items.is_array()) {
         return Error{400, "the datagram is not a CBOR array"};
     }
-    Digest out;
+    PeerMessage out;
     for (const auto &item : items) {
         LoadReport report;
         replica::Confirmation confirmation;
-        quarantine::Record endings;
+        quarantine::CrashRecord crash;
         quarantine::Suspicion suspicion;
-        quarantine::Answer answer;
-        if (out.endings.size() < mostEndings && readEndings(item, now, endings)) {
-            out.endings.push_back(std::move(endings));
-        } else if (out.suspicions.size() < mostEndings && readSuspicion(item, now, suspicion)) {
+        quarantine::CompleteResponse answer;
+        if (out.crashes.size() < maxCrashRecords && readCrashRecord(item, now, crash)) {
+            out.crashes.push_back(std::move(crash));
+        } else if (out.suspicions.size() < maxCrashRecords && readSuspicion(item, now, suspicion)) {
             out.suspicions.push_back(suspicion);
-        } else if (out.answers.size() < mostEndings && readAnswer(item, now, answer)) {
+        } else if (out.answers.size() < maxCrashRecords && readAnswer(item, now, answer)) {
             out.answers.push_back(answer);
         } else if (out.confirmations.size() < maxConfirmations && readConfirmation(item, now, confirmation)) {
             out.confirmations.push_back(std::move(confirmation));
--- a/src/load_digest.h
+++ b/src/peer_message.h
@@ -1,5 +1,5 @@
 // The datagrams that routers exchange, encoded as CBOR: reported endpoint loads, new prompts and the endpoints that process
-// them, the store's confirmations, and requests under which endpoints ended.
+// them, the store's confirmations, and requests that crash endpoints.
 #pragma once
 
 #include "quarantine.h"
@@ -21,40 +21,40 @@
 struct LoadReport {
     std::string endpoint;
     int64_t load = 0; ///< requests in flight on the endpoint, from all routers
-    Clock::time_point heardAt{};
+    Clock::time_point receivedAt{};
     bool operator==(const LoadReport &) const = default;
 };
 
 /// An endpoint that received a prompt, and so holds the prompt's prefix in its cache.
-struct PromptNews {
+struct PromptAnnouncement {
     uint64_t prompt = 0;
     std::string endpoint;
-    bool operator==(const PromptNews &) const = default;
+    bool operator==(const PromptAnnouncement &) const = default;
 };
 
 /// The contents of one datagram.
-struct Digest {
+struct PeerMessage {
     std::vector<LoadReport> loads;
-    std::vector<PromptNews> prompts;
+    std::vector<PromptAnnouncement> prompts;
     std::vector<replica::Confirmation> confirmations;
-    std::vector<quarantine::Record> endings = {};
+    std::vector<quarantine::CrashRecord> crashes = {};
     std::vector<quarantine::Suspicion> suspicions = {};
-    std::vector<quarantine::Answer> answers = {}; ///< answers to requests under which endpoints had ended
-    bool operator==(const Digest &) const = default;
+    std::vector<quarantine::CompleteResponse> answers = {}; ///< complete responses to requests under which endpoints had crashed
+    bool operator==(const PeerMessage &) const = default;
 };
 
 /// Limits per datagram. A report takes about 25 B and a prompt 9 to 25 B, so that a datagram fits one packet of 1,400 B.
 inline constexpr std::size_t maxLoadReports = 32;
-inline constexpr std::size_t mostPrompts = 24;
-/// Endings, of about 12 B and 9 B per endpoint, and answers are sent in datagrams of their own.
-inline constexpr std::size_t mostEndings = 16;
+inline constexpr std::size_t maxPrompts = 24;
+/// Crash records, of about 12 B and 9 B per endpoint, and answers are sent in datagrams of their own.
+inline constexpr std::size_t maxCrashRecords = 16;
 inline constexpr std::size_t maxConfirmations = 4; ///< one per kind of objects, of about 35 B
 
 /// Encodes a datagram: the newest reports and the first prompts if there are too many. Times are encoded as ages in ms, because
 /// routers' clocks differ.
-std::vector<uint8_t> encode(Digest digest, Clock::time_point now);
+std::vector<uint8_t> encode(PeerMessage message, Clock::time_point now);
 
 /// Decodes a datagram. Ages are subtracted from now. Fails with an Error (400) that describes what is malformed.
-Result<Digest> decode(std::span<const uint8_t> datagram, Clock::time_point now);
+Result<PeerMessage> decode(std::span<const uint8_t> datagram, Clock::time_point now);
 
 } // namespace yucca::peers
--- a/src/placement.cpp
+++ b/src/placement.cpp
@@ -86,9 +86,9 @@
 void PrefixAffinity::setMembers(std::vector<std::string> ids)
 {
     std::sort(ids.begin(), ids.end());
-    m_loads = carryOver(m_ids, m_loads, ids);
+    m_loads = remapMemberState(m_ids, m_loads, ids);
     m_ids = std::move(ids);
-    m_hashes = hashesOf(m_ids);
+    m_hashes = memberHashes(m_ids);
     m_ownInflightTotal = 0;
     for (const auto &load : m_loads) {
         m_ownInflightTotal += load.ownInflight();
@@ -96,21 +96,21 @@
     m_meanStale = true;
 }
 
-void PrefixAffinity::placed(std::size_t member, TimePoint)
+void PrefixAffinity::requestStarted(std::size_t member, TimePoint)
 {
-    m_loads[member].placed();
+    m_loads[member].requestStarted();
     ++m_ownInflightTotal;
 }
 
-void PrefixAffinity::finished(std::size_t member, TimePoint)
+void PrefixAffinity::requestFinished(std::size_t member, TimePoint)
 {
     m_ownInflightTotal -= m_loads[member].ownInflight() > 0 ? 1 : 0;
-    m_loads[member].finished();
+    m_loads[member].requestFinished();
 }
 
-void PrefixAffinity::reported(std::size_t member, int64_t load, TimePoint now)
+void PrefixAffinity::recordLoadReport(std::size_t member, int64_t load, TimePoint now)
 {
-    m_loads[member].reported(load, now);
+    m_loads[member].recordLoadReport(load, now);
 }
 
 void PrefixAffinity::refreshMean(const Usable &usable, TimePoint now)
@@ -179,7 +179,7 @@
     order.reserve(m_hashes.size());
     for (uint32_t i = 0; i < m_hashes.size(); ++i) {
         if (usable[i]) {
-            order.emplace_back(rank(m_hashes[i], affinity.shared), i);
+            order.emplace_back(rendezvousScore(m_hashes[i], affinity.shared), i);
         }
     }
     if (order.empty()) {
@@ -189,7 +189,7 @@
     const std::size_t candidates = std::min(order.size(), k + spillCandidates);
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(candidates), order.end(), std::greater<>());
     std::sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(k), [&](const auto &a, const auto &b) {
-        return rank(m_hashes[a.second], affinity.conversation) > rank(m_hashes[b.second], affinity.conversation);
+        return rendezvousScore(m_hashes[a.second], affinity.conversation) > rendezvousScore(m_hashes[b.second], affinity.conversation);
     });
     refreshMean(usable, now);
     const double limit = m_options.loadFactor * m_mean + m_options.slack;
@@ -207,19 +207,19 @@
     return least->second;
 }
 
-OwnBound::OwnBound(int virtualNodes, double loadFactor)
+BoundedLoadHashing::BoundedLoadHashing(int virtualNodes, double loadFactor)
     : m_ring(virtualNodes, loadFactor)
 {
 }
 
-void OwnBound::setMembers(std::vector<std::string> ids)
+void BoundedLoadHashing::setMembers(std::vector<std::string> ids)
 {
     std::sort(ids.begin(), ids.end());
-    m_ownInflight = carryOver(m_ring.members(), m_ownInflight, ids);
+    m_ownInflight = remapMemberState(m_ring.members(), m_ownInflight, ids);
     m_ring.setMembers(std::move(ids));
 }
 
-std::optional<std::size_t> OwnBound::pick(const Affinity &affinity, const Usable &usable, TimePoint)
+std::optional<std::size_t> BoundedLoadHashing::pick(const Affinity &affinity, const Usable &usable, TimePoint)
 {
     std::vector<int64_t> loads = m_ownInflight;
     for (std::size_t i = 0; i < loads.size(); ++i) {
@@ -228,12 +228,12 @@
     return m_ring.pick(affinity.conversation, loads);
 }
 
-void OwnBound::placed(std::size_t member, TimePoint)
+void BoundedLoadHashing::requestStarted(std::size_t member, TimePoint)
 {
     ++m_ownInflight[member];
 }
 
-void OwnBound::finished(std::size_t member, TimePoint)
+void BoundedLoadHashing::requestFinished(std::size_t member, TimePoint)
 {
     m_ownInflight[member] = std::max<int64_t>(0, m_ownInflight[member] - 1);
 }
@@ -250,7 +250,8 @@
         // old report says nothing about the present load.
         const double load = m_loads[i].estimate(static_cast<double>(m_loads[i].ownInflight()), now, m_reportLifetime);
         const bool tie = best && load == bestLoad;
-        if (!best || load < bestLoad || (tie && rank(m_hashes[i], affinity.conversation) > rank(m_hashes[*best], affinity.conversation))) {
+        if (!best || load < bestLoad
+            || (tie && rendezvousScore(m_hashes[i], affinity.conversation) > rendezvousScore(m_hashes[*best], affinity.conversation))) {
             best = i;
             bestLoad = load;
         }
@@ -276,7 +277,7 @@
         }
         const double load = m_loads[i].estimate(prior, now, m_options.reportLifetime);
         const bool holds = std::find(affinity.holders.begin(), affinity.holders.end(), m_ids[i]) != affinity.holders.end();
-        const auto candidateRank = rank(m_hashes[i], affinity.conversation);
+        const auto candidateRank = rendezvousScore(m_hashes[i], affinity.conversation);
         const bool better = !home || (holds != homeHolds ? holds : holds ? load < homeLoad : candidateRank > homeRank);
         if (load + 1 <= limit && better) {
             home = i;
--- a/src/prefix.cpp
+++ b/src/prefix.cpp
@@ -26,7 +26,7 @@
     return out;
 }
 
-std::vector<std::string_view> tokens(std::string_view text)
+std::vector<std::string_view> tokenize(std::string_view text)
 {
     std::vector<std::string_view> out;
     std::size_t i = 0;
@@ -58,7 +58,7 @@
     return out;
 }
 
-bool wellFormed(const nlohmann::json &messages)
+bool isValidMessageList(const nlohmann::json &messages)
 {
     if (!messages.is_array() || messages.empty()) {
         return false;
@@ -69,7 +69,7 @@
     });
 }
 
-placement::Affinity affinity(std::string_view workspace, const nlohmann::json &messages)
+placement::Affinity affinityKeys(std::string_view workspace, const nlohmann::json &messages)
 {
     placement::Affinity keys;
     keys.shared = ring::hash(workspace);
--- a/src/prefix.h
+++ b/src/prefix.h
@@ -18,17 +18,17 @@
 std::string promptText(const nlohmann::json &messages);
 
 /// Splits text into tokens at white space. Stands in for a model's tokenizer.
-std::vector<std::string_view> tokens(std::string_view text);
+std::vector<std::string_view> tokenize(std::string_view text);
 
 /// Hashes of the complete blocks of a token sequence. Each hash is chained to the one before it, so equal hashes mean
 /// equal prefixes.
 std::vector<uint64_t> blockHashes(const std::vector<std::string_view> &toks, std::size_t blockTokens);
 
 /// True for a non-empty list of messages that each have a role and a content of text, parts or null.
-bool wellFormed(const nlohmann::json &messages);
+bool isValidMessageList(const nlohmann::json &messages);
 
 /// The affinity keys of a chat. The shared key covers the workspace and the leading system messages; the conversation
 /// key also covers the first message after them. Both keys are the same for every turn of a conversation.
-placement::Affinity affinity(std::string_view workspace, const nlohmann::json &messages);
+placement::Affinity affinityKeys(std::string_view workspace, const nlohmann::json &messages);
 
 } // namespace yucca::prefix
--- a/src/prompt_holders.h
+++ b/src/prompt_holders.h
@@ -50,7 +50,7 @@
         return out;
     }
 
-    /// Records that an endpoint received a prompt. Returns true if peers should be told: the request was this router's
+    /// Records that an endpoint received a prompt. Returns true if peers should be informed: the request was this router's
     /// own, and no router has announced it for a while.
     bool record(uint64_t prompt, const Endpoint &endpoint, HolderSource source, Clock::time_point now)
     {
@@ -101,7 +101,7 @@
     struct Holder {
         Endpoint endpoint;
         Clock::time_point at;
-        Clock::time_point announcedAt; ///< when a router last told its peers
+        Clock::time_point announcedAt; ///< when a router last announced it to its peers
     };
     struct Entry {
         uint64_t prompt = 0;
--- a/src/prompt_snapshot.cpp
+++ b/src/prompt_snapshot.cpp
@@ -15,23 +15,23 @@
 
 std::optional<uint64_t> parseKey(const json &keyText)
 {
-    return keyText.is_string() ? text::fromHex(keyText.get_ref<const std::string &>()) : std::nullopt;
+    return keyText.is_string() ? text::parseHex(keyText.get_ref<const std::string &>()) : std::nullopt;
 }
 
 // Groups the prompts by endpoint, the most recently recorded first.
-json encodeSnapshot(const std::vector<peers::PromptNews> &prompts)
+json encodeSnapshot(const std::vector<peers::PromptAnnouncement> &prompts)
 {
     json out = json::object();
     for (const auto &p : prompts) {
-        out[p.endpoint].push_back(text::hex(p.prompt));
+        out[p.endpoint].push_back(text::toHex(p.prompt));
     }
     return out;
 }
 
 // Parses a snapshot and skips malformed entries, which other programs may have written.
-std::vector<peers::PromptNews> decodeSnapshot(const json &snapshot)
+std::vector<peers::PromptAnnouncement> decodeSnapshot(const json &snapshot)
 {
-    std::vector<peers::PromptNews> out;
+    std::vector<peers::PromptAnnouncement> out;
     if (!snapshot.is_object()) {
         return out;
     }
@@ -86,7 +86,7 @@
     const auto prompts = decodeSnapshot(std::get<platform::Object>(result).value);
     const auto now = Clock::now();
     for (auto p = prompts.rbegin(); p != prompts.rend(); ++p) {
-        m_table.toldOfPrompt(*p, now);
+        m_table.mergePeerPrompt(*p, now);
     }
     log::Line{log::Event::PromptsLoaded}.add("prompts", static_cast<int64_t>(prompts.size()));
     co_return true;
--- a/src/quarantine.cpp
+++ b/src/quarantine.cpp
@@ -9,12 +9,12 @@
 namespace yucca::quarantine
 {
 
-bool RequestQuarantine::isQuarantined(const Record &record, Clock::time_point now) const
+bool RequestQuarantine::isQuarantined(const CrashRecord &record, Clock::time_point now) const
 {
-    return record.endpoints.size() >= m_options.mostEndings && now < record.lastAt + m_options.quarantineDuration;
+    return record.endpoints.size() >= m_options.crashThreshold && now < record.lastAt + m_options.quarantineDuration;
 }
 
-std::optional<Clock::time_point> RequestQuarantine::heldUntil(uint64_t content, Clock::time_point now) const
+std::optional<Clock::time_point> RequestQuarantine::quarantinedUntil(uint64_t content, Clock::time_point now) const
 {
     std::lock_guard lock(m_mutex);
     const auto it = m_records.find(content);
@@ -22,7 +22,7 @@
         return it->second.lastAt + m_options.quarantineDuration;
     }
     const auto until = suspectedUntil(content, now);
-    return until ? std::optional(std::min<Clock::time_point>(*until, now + m_options.askAgainAfter)) : std::nullopt;
+    return until ? std::optional(std::min<Clock::time_point>(*until, now + m_options.suspicionRetryAfter)) : std::nullopt;
 }
 
 // Returns the time until which crashes and suspicions together hold a content back, or nothing when too few of them count.
@@ -34,34 +34,34 @@
     }
     const auto it = m_records.find(content);
     const bool counts = it != m_records.end() && now < it->second.lastAt + m_options.quarantineDuration;
-    const auto ended = counts ? it->second.endpoints : std::vector<uint64_t>();
+    const auto crashed = counts ? it->second.endpoints : std::vector<uint64_t>();
     std::size_t suspected = 0;
     auto last = now;
     for (const auto &[endpoint, at] : suspicions->second) {
         const auto until = at + m_options.suspicionTimeout;
-        if (until > now && !std::binary_search(ended.begin(), ended.end(), endpoint)) {
+        if (until > now && !std::binary_search(crashed.begin(), crashed.end(), endpoint)) {
             ++suspected;
             last = std::max(last, until);
         }
     }
-    return suspected > 0 && ended.size() + suspected >= m_options.mostEndings ? std::optional(last) : std::nullopt;
+    return suspected > 0 && crashed.size() + suspected >= m_options.crashThreshold ? std::optional(last) : std::nullopt;
 }
 
 // True when all routers must learn of a content at once.
 bool RequestQuarantine::isUrgent(uint64_t content, Clock::time_point now) const
 {
     const auto it = m_records.find(content);
-    return (it != m_records.end() && it->second.endpoints.size() >= m_options.leastShared) || suspectedUntil(content, now);
+    return (it != m_records.end() && it->second.endpoints.size() >= m_options.minCrashesToShare) || suspectedUntil(content, now);
 }
 
 void RequestQuarantine::notifyIfUrgent(bool urgentUpdate) const
 {
-    if (urgentUpdate && onNews) {
-        onNews();
+    if (urgentUpdate && onUrgentUpdate) {
+        onUrgentUpdate();
     }
 }
 
-void RequestQuarantine::broke(uint64_t content, uint64_t endpoint, Clock::time_point now)
+void RequestQuarantine::recordBrokenResponse(uint64_t content, uint64_t endpoint, Clock::time_point now)
 {
     bool urgentUpdate = false;
     {
@@ -82,7 +82,7 @@
     notifyIfUrgent(urgentUpdate);
 }
 
-void RequestQuarantine::told(const Suspicion &suspicion, Clock::time_point now)
+void RequestQuarantine::merge(const Suspicion &suspicion, Clock::time_point now)
 {
     bool urgentUpdate = false;
     {
@@ -144,7 +144,7 @@
     }
 }
 
-void RequestQuarantine::lives(uint64_t content, uint64_t endpoint)
+void RequestQuarantine::recordAlive(uint64_t content, uint64_t endpoint)
 {
     std::lock_guard lock(m_mutex);
     const auto it = m_suspicions.find(content);
@@ -153,14 +153,14 @@
     }
 }
 
-std::optional<Record> RequestQuarantine::find(uint64_t content) const
+std::optional<CrashRecord> RequestQuarantine::find(uint64_t content) const
 {
     std::lock_guard lock(m_mutex);
     const auto it = m_records.find(content);
     return it == m_records.end() ? std::nullopt : std::optional(it->second);
 }
 
-std::size_t RequestQuarantine::heldCount(Clock::time_point now) const
+std::size_t RequestQuarantine::quarantinedCount(Clock::time_point now) const
 {
     std::lock_guard lock(m_mutex);
     return static_cast<std::size_t>(std::count_if(m_records.begin(), m_records.end(), [&](const auto &entry) {
@@ -168,7 +168,7 @@
     }));
 }
 
-void RequestQuarantine::ended(uint64_t content, uint64_t endpoint, Clock::time_point now)
+void RequestQuarantine::recordCrash(uint64_t content, uint64_t endpoint, Clock::time_point now)
 {
     bool urgentUpdate = false;
     {
@@ -176,7 +176,7 @@
         if (recentlyAnswered(content, now)) {
             return;
         }
-        urgentUpdate = merge({content, {endpoint}, now}, now) >= m_options.leastShared;
+        urgentUpdate = mergeRecord({content, {endpoint}, now}, now) >= m_options.minCrashesToShare;
         if (urgentUpdate) {
             m_unsaved.insert(content);
         }
@@ -184,17 +184,17 @@
     notifyIfUrgent(urgentUpdate);
 }
 
-void RequestQuarantine::answered(uint64_t content, Clock::time_point now)
+void RequestQuarantine::recordCompleteResponse(uint64_t content, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
-    const Answer answer{content, now};
+    const CompleteResponse answer{content, now};
     addAnswer(answer);
     if (clearContent(answer)) {
         m_unsaved.insert(content);
     }
 }
 
-void RequestQuarantine::told(const Record &record, Clock::time_point now)
+void RequestQuarantine::merge(const CrashRecord &record, Clock::time_point now)
 {
     bool urgentUpdate = false;
     {
@@ -205,7 +205,7 @@
 }
 
 // Merges a record from another router or the store. Returns true when it adds to what is known and all routers must learn of it.
-bool RequestQuarantine::acceptRecord(const Record &record, Clock::time_point now)
+bool RequestQuarantine::acceptRecord(const CrashRecord &record, Clock::time_point now)
 {
     if (now > record.lastAt + m_options.recordRetention) {
         return false;
@@ -215,14 +215,14 @@
         return false;
     }
     // A record that already contains all known crashes was saved by the router that merged it.
-    const auto endings = merge(record, now);
-    if (endings > record.endpoints.size() && endings >= m_options.leastShared) {
+    const auto crashes = mergeRecord(record, now);
+    if (crashes > record.endpoints.size() && crashes >= m_options.minCrashesToShare) {
         m_unsaved.insert(record.content);
     }
-    return endings >= m_options.leastShared;
+    return crashes >= m_options.minCrashesToShare;
 }
 
-void RequestQuarantine::told(const Answer &answer)
+void RequestQuarantine::merge(const CompleteResponse &answer)
 {
     std::lock_guard lock(m_mutex);
     addAnswer(answer);
@@ -238,9 +238,9 @@
 
 // Merges a record into the known one and queues it for sending when it adds a
 // crash. Returns the number of known crashes; 0 when nothing was added.
-std::size_t RequestQuarantine::merge(const Record &record, Clock::time_point now)
+std::size_t RequestQuarantine::mergeRecord(const CrashRecord &record, Clock::time_point now)
 {
-    auto &known = m_records.try_emplace(record.content, Record{record.content, {}, record.lastAt}).first->second;
+    auto &known = m_records.try_emplace(record.content, CrashRecord{record.content, {}, record.lastAt}).first->second;
     const bool wasQuarantined = isQuarantined(known, now);
     std::vector<uint64_t> merged;
     std::set_union(known.endpoints.begin(), known.endpoints.end(), record.endpoints.begin(), record.endpoints.end(), std::back_inserter(merged));
@@ -253,16 +253,16 @@
     }
     if (isQuarantined(known, now) && !wasQuarantined) {
         log::Line{log::Event::RequestQuarantined}
-            .add("content", text::hex(record.content))
+            .add("content", text::toHex(record.content))
             .add("endpoints", static_cast<int64_t>(known.endpoints.size()))
             .add("for_ms", std::chrono::duration_cast<Millis>(known.lastAt + m_options.quarantineDuration - now).count());
     }
-    const auto endings = known.endpoints.size();
+    const auto crashes = known.endpoints.size();
     evictRecord();
-    return changed ? endings : 0;
+    return changed ? crashes : 0;
 }
 
-void RequestQuarantine::addAnswer(const Answer &answer)
+void RequestQuarantine::addAnswer(const CompleteResponse &answer)
 {
     auto &at = m_answers.try_emplace(answer.content, answer.at).first->second;
     at = std::max(at, answer.at);
@@ -279,15 +279,15 @@
 
 // Removes the suspicions and the record of an answered content. Returns true
 // when there was a record; the answer is then queued for the other routers.
-bool RequestQuarantine::clearContent(const Answer &answer)
+bool RequestQuarantine::clearContent(const CompleteResponse &answer)
 {
     m_suspicions.erase(answer.content);
     const auto it = m_records.find(answer.content);
     if (it == m_records.end() || !recentlyAnswered(answer.content, it->second.lastAt)) {
         return false;
     }
-    if (it->second.endpoints.size() >= m_options.leastShared) {
-        log::Line{log::Event::RequestCleared}.add("content", text::hex(answer.content)).add("endpoints", static_cast<int64_t>(it->second.endpoints.size()));
+    if (it->second.endpoints.size() >= m_options.minCrashesToShare) {
+        log::Line{log::Event::RequestCleared}.add("content", text::toHex(answer.content)).add("endpoints", static_cast<int64_t>(it->second.endpoints.size()));
     }
     m_records.erase(it);
     m_pendingRecords.erase(answer.content);
@@ -309,47 +309,47 @@
     m_records.erase(oldest);
 }
 
-News RequestQuarantine::takeNews(std::size_t limit)
+Updates RequestQuarantine::takeUpdates(std::size_t limit)
 {
     std::lock_guard lock(m_mutex);
-    News news;
+    Updates updates;
     for (const auto &[content, remainingSends] : m_pendingRecords) {
-        news.records.push_back(m_records.at(content));
+        updates.records.push_back(m_records.at(content));
     }
-    std::sort(news.records.begin(), news.records.end(), [](const Record &a, const Record &b) {
+    std::sort(updates.records.begin(), updates.records.end(), [](const CrashRecord &a, const CrashRecord &b) {
         return std::pair(a.endpoints.size(), a.lastAt) > std::pair(b.endpoints.size(), b.lastAt);
     });
-    news.records.resize(std::min(news.records.size(), limit));
-    for (const auto &record : news.records) {
+    updates.records.resize(std::min(updates.records.size(), limit));
+    for (const auto &record : updates.records) {
         if (--m_pendingRecords[record.content] <= 0) {
             m_pendingRecords.erase(record.content);
         }
     }
-    while (!m_pendingSuspicions.empty() && news.suspicions.size() < limit) {
-        news.suspicions.push_back(m_pendingSuspicions.back()); // newest first
+    while (!m_pendingSuspicions.empty() && updates.suspicions.size() < limit) {
+        updates.suspicions.push_back(m_pendingSuspicions.back()); // newest first
         m_pendingSuspicions.pop_back();
     }
-    news.urgent = m_urgent;
+    updates.urgent = m_urgent;
     std::erase_if(m_urgent, [this](uint64_t content) {
         const bool queued = std::any_of(m_pendingSuspicions.begin(), m_pendingSuspicions.end(), [content](const Suspicion &s) {
             return s.content == content;
         });
         return !queued && !m_pendingRecords.count(content);
     });
-    for (auto it = m_pendingAnswers.begin(); it != m_pendingAnswers.end() && news.answers.size() < limit;) {
+    for (auto it = m_pendingAnswers.begin(); it != m_pendingAnswers.end() && updates.answers.size() < limit;) {
         const auto answer = m_answers.find(it->first);
         if (answer != m_answers.end()) {
-            news.answers.push_back({it->first, answer->second});
+            updates.answers.push_back({it->first, answer->second});
         }
         it = --it->second <= 0 || answer == m_answers.end() ? m_pendingAnswers.erase(it) : std::next(it);
     }
-    return news;
+    return updates;
 }
 
-std::vector<Record> RequestQuarantine::someHeld(std::size_t limit, Clock::time_point now)
+std::vector<CrashRecord> RequestQuarantine::nextQuarantined(std::size_t limit, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
-    std::vector<Record> batch;
+    std::vector<CrashRecord> batch;
     auto it = m_records.upper_bound(m_repeatCursor);
     for (std::size_t seen = 0; seen < m_records.size() && batch.size() < limit; ++seen, ++it) {
         it = it == m_records.end() ? m_records.begin() : it;
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -1,5 +1,5 @@
 // Quarantine for requests that crash the endpoints that run them. A crash (an
-// "ending" in names and logs) is any unplanned end of an endpoint's process,
+// "ending" in logs and metrics) is any unplanned end of an endpoint's process,
 // also together with its VM. Crashes are counted per request content, because
 // each retry bears another request id and may reach another router. Once enough
 // endpoints have crashed under the same content, it is sent to no endpoint.
@@ -20,11 +20,11 @@
 {
 
 /// The endpoints that crashed while they ran requests of one content.
-struct Record {
+struct CrashRecord {
     uint64_t content = 0; ///< hash of the request's content and its workspace
     std::vector<uint64_t> endpoints; ///< hashes of the endpoint incarnations that crashed (of the engine ids for orders); sorted
     Clock::time_point lastAt{}; ///< time of the last crash
-    bool operator==(const Record &) const = default;
+    bool operator==(const CrashRecord &) const = default;
 };
 
 /// A possible crash: an endpoint's answer to the content broke off, and the cause is not known yet.
@@ -36,17 +36,17 @@
 };
 
 /// A complete answer to the content: it shows that the request did not cause the crashes before it.
-struct Answer {
+struct CompleteResponse {
     uint64_t content = 0;
     Clock::time_point at{};
-    bool operator==(const Answer &) const = default;
+    bool operator==(const CompleteResponse &) const = default;
 };
 
 /// The updates that one router sends to others.
-struct News {
-    std::vector<Record> records; ///< sorted by number of crashes, highest first
+struct Updates {
+    std::vector<CrashRecord> records; ///< sorted by number of crashes, highest first
     std::vector<Suspicion> suspicions;
-    std::vector<Answer> answers;
+    std::vector<CompleteResponse> answers;
     std::set<uint64_t> urgent = {}; ///< contents whose records and suspicions go to all routers, not only to those that count single crashes
 };
 
@@ -54,7 +54,7 @@
 struct QuarantineOptions {
     /// Crashed endpoints from which on a content is quarantined. Two crashes
     /// may be chance: the first one, and one more where the retry ran.
-    std::size_t mostEndings = 3;
+    std::size_t crashThreshold = 3;
     Millis quarantineDuration{std::chrono::hours(1)}; ///< counted from the last crash; limited because the endpoints may have been fixed since
     Millis recordRetention{std::chrono::hours(24)}; ///< counted from the last crash; within it, one more crash renews an expired quarantine
     /// A crash within this time after a complete answer does not count against
@@ -65,9 +65,9 @@
     /// out whether the endpoint has crashed. Without it, a frequent request
     /// would reach several more endpoints in the meantime.
     Millis suspicionTimeout{6000};
-    /// Longest wait told to a caller whose content is held on suspicion only. A new
+    /// Longest wait stated to a caller whose content is quarantined on suspicion only. A new
     /// connection to the endpoint settles most suspicions within 100 ms.
-    Millis askAgainAfter{500};
+    Millis suspicionRetryAfter{500};
     std::size_t maxSuspectedRequests = 1024; ///< contents under suspicion
     std::size_t maxQueuedSuspicions = 256; ///< suspicions that wait to be sent; the oldest are dropped first
     std::size_t maxRecords = 4096; ///< about 150 B each; those with the fewest crashes are dropped first, of these the oldest
@@ -76,7 +76,7 @@
     /// Crashes from which on a record goes to all routers and to the store. A
     /// single crash implicates every request that the endpoint was running, so
     /// only a few routers count these.
-    std::size_t leastShared = 2;
+    std::size_t minCrashesToShare = 2;
     int sendsPerUpdate = 3; ///< times that each update is sent, because datagrams may be lost
 };
 
@@ -91,29 +91,29 @@
     }
 
     /// Returns the time until which the content must not be sent to an endpoint, or nothing when it may be sent.
-    std::optional<Clock::time_point> heldUntil(uint64_t content, Clock::time_point now) const;
+    std::optional<Clock::time_point> quarantinedUntil(uint64_t content, Clock::time_point now) const;
     /// Reports that the answer to a request of this router broke off: the endpoint may have crashed.
-    void broke(uint64_t content, uint64_t endpoint, Clock::time_point now);
+    void recordBrokenResponse(uint64_t content, uint64_t endpoint, Clock::time_point now);
     /// Reports that the endpoint is alive, and withdraws the suspicion against the content.
-    void lives(uint64_t content, uint64_t endpoint);
+    void recordAlive(uint64_t content, uint64_t endpoint);
     /// Reports that the endpoint crashed while it ran a request of this router.
-    void ended(uint64_t content, uint64_t endpoint, Clock::time_point now);
+    void recordCrash(uint64_t content, uint64_t endpoint, Clock::time_point now);
     /// Reports that a request through this router was answered completely.
-    void answered(uint64_t content, Clock::time_point now);
+    void recordCompleteResponse(uint64_t content, Clock::time_point now);
     /// Merges a record received from another router or read from the store. If
     /// this router has seen a recent complete answer, it queues that answer for
     /// the others instead.
-    void told(const Record &record, Clock::time_point now);
+    void merge(const CrashRecord &record, Clock::time_point now);
     /// Merges a suspicion received from another router, with the same exception.
-    void told(const Suspicion &suspicion, Clock::time_point now);
-    /// Takes a complete answer reported by another router or released by an operator, and clears the content.
-    void told(const Answer &answer);
+    void merge(const Suspicion &suspicion, Clock::time_point now);
+    /// Merges a complete answer reported by another router or released by an operator, and clears the content.
+    void merge(const CompleteResponse &answer);
 
     /// Takes the updates due in this round from the queues: at most limit of each kind, except urgent.
-    News takeNews(std::size_t limit);
+    Updates takeUpdates(std::size_t limit);
     /// Returns up to limit quarantined records, in rotation from call to call,
     /// for routers that missed the updates.
-    std::vector<Record> someHeld(std::size_t limit, Clock::time_point now);
+    std::vector<CrashRecord> nextQuarantined(std::size_t limit, Clock::time_point now);
     /// Returns the contents to be written to the store since the last call.
     std::vector<uint64_t> takeUnsaved();
     /// Queues a content for takeUnsaved() again, after a failed write.
@@ -121,18 +121,18 @@
     /// Queues all contents for takeUnsaved(), after the store lost recent writes.
     void markAllUnsaved();
     /// Returns the record of a content, or nothing when there is none.
-    std::optional<Record> find(uint64_t content) const;
+    std::optional<CrashRecord> find(uint64_t content) const;
     /// Returns the number of quarantined contents; suspicions alone do not count.
-    std::size_t heldCount(Clock::time_point now) const;
+    std::size_t quarantinedCount(Clock::time_point now) const;
     const QuarantineOptions &options() const
     {
         return m_options;
     }
     /// Called, from any thread, when an update should be sent before the next round.
-    std::function<void()> onNews;
+    std::function<void()> onUrgentUpdate;
 
 private:
-    bool isQuarantined(const Record &record, Clock::time_point now) const;
+    bool isQuarantined(const CrashRecord &record, Clock::time_point now) const;
     std::optional<Clock::time_point> suspectedUntil(uint64_t content, Clock::time_point now) const;
     void broadcastSuspicions(uint64_t content);
     bool isUrgent(uint64_t content, Clock::time_point now) const;
@@ -140,15 +140,15 @@
     void pruneSuspicions(Clock::time_point now);
     void notifyIfUrgent(bool urgentUpdate) const;
     bool recentlyAnswered(uint64_t content, Clock::time_point endedAt) const;
-    bool acceptRecord(const Record &record, Clock::time_point now);
-    std::size_t merge(const Record &record, Clock::time_point now);
-    void addAnswer(const Answer &answer);
-    bool clearContent(const Answer &answer);
+    bool acceptRecord(const CrashRecord &record, Clock::time_point now);
+    std::size_t mergeRecord(const CrashRecord &record, Clock::time_point now);
+    void addAnswer(const CompleteResponse &answer);
+    bool clearContent(const CompleteResponse &answer);
     void evictRecord();
 
     QuarantineOptions m_options;
     mutable std::mutex m_mutex;
-    std::map<uint64_t, Record> m_records; ///< by content
+    std::map<uint64_t, CrashRecord> m_records; ///< by content
     std::map<uint64_t, std::map<uint64_t, Clock::time_point>> m_suspicions; ///< time of each, by content and endpoint
     std::deque<Suspicion> m_pendingSuspicions; ///< to be sent to other routers; the newest at the back
     std::set<uint64_t> m_urgent; ///< contents of m_pendingSuspicions and m_pendingRecords that go to all routers
@@ -156,7 +156,7 @@
     std::map<uint64_t, int> m_pendingRecords; ///< remaining sends, by content
     std::map<uint64_t, int> m_pendingAnswers; ///< remaining sends, by content
     std::set<uint64_t> m_unsaved; ///< contents to be written to the store
-    uint64_t m_repeatCursor = 0; ///< content of the last record that someHeld() returned
+    uint64_t m_repeatCursor = 0; ///< content of the last record that nextQuarantined() returned
 };
 
 } // namespace yucca::quarantine
--- a/src/quarantine_store.cpp
+++ b/src/quarantine_store.cpp
@@ -31,36 +31,36 @@
     return Clock::now() - Millis(unixMs() - unixTimeMs);
 }
 
-json recordToJson(const Record &record)
+json recordToJson(const CrashRecord &record)
 {
     json endpoints = json::array();
     for (const auto endpoint : record.endpoints) {
-        endpoints.push_back(text::hex(endpoint));
+        endpoints.push_back(text::toHex(endpoint));
     }
     const auto age = std::chrono::duration_cast<Millis>(Clock::now() - record.lastAt).count();
     return {{endpointsKey, std::move(endpoints)}, {lastEndedKey, unixMs() - age}};
 }
 
 /// A parsed entry: a record, an operator's release as an answer, or nothing when the entry is unreadable.
-using Entry = std::variant<std::monostate, Record, Answer>;
+using Entry = std::variant<std::monostate, CrashRecord, CompleteResponse>;
 
 Entry parseEntry(const platform::Object &object)
 {
-    const auto content = text::fromHex(object.name);
+    const auto content = text::parseHex(object.name);
     const auto &v = object.value;
     if (!content || !v.is_object()) {
         return {};
     }
     if (v.contains(releasedKey) && v[releasedKey].is_number_integer()) {
-        return Answer{*content, toSteadyTime(v[releasedKey].get<int64_t>())};
+        return CompleteResponse{*content, toSteadyTime(v[releasedKey].get<int64_t>())};
     }
     const bool wellFormed = v.contains(endpointsKey) && v[endpointsKey].is_array() && v.contains(lastEndedKey) && v[lastEndedKey].is_number_integer();
     if (!wellFormed) {
         return {};
     }
-    Record record{*content, {}, toSteadyTime(v[lastEndedKey].get<int64_t>())};
+    CrashRecord record{*content, {}, toSteadyTime(v[lastEndedKey].get<int64_t>())};
     for (const auto &written : v[endpointsKey]) {
-        const auto endpoint = written.is_string() ? text::fromHex(written.get_ref<const std::string &>()) : std::nullopt;
+        const auto endpoint = written.is_string() ? text::parseHex(written.get_ref<const std::string &>()) : std::nullopt;
         if (!endpoint) {
             return {};
         }
@@ -72,13 +72,13 @@
 
 } // namespace
 
-json releaseBy(const std::string &author, const std::string &reason)
+json makeReleaseRecord(const std::string &author, const std::string &reason)
 {
     return {{releasedKey, unixMs()}, {"author", author}, {"reason", reason}};
 }
 
 QuarantineStore::QuarantineStore(platform::ObjectApi &api, RequestQuarantine &quarantine, std::function<bool()> isAlone, std::function<bool()> isSweeper,
-                                 StoreOptions options)
+                                 QuarantineStoreOptions options)
     : m_api(api)
     , m_quarantine(quarantine)
     , m_isAlone(std::move(isAlone))
@@ -94,15 +94,15 @@
         return m_options.retryDelay;
     }
     if (m_loadCount < 2) {
-        return m_options.reloadSoon;
+        return m_options.secondLoadDelay;
     }
-    return m_isAlone() ? m_options.reloadAlone : m_options.reload;
+    return m_isAlone() ? m_options.reloadIntervalAlone : m_options.reloadInterval;
 }
 
 Task<void> QuarantineStore::run()
 {
     while (!m_stopping) {
-        noteEpoch();
+        recordEpoch();
         if (m_loadCount == 0 || Clock::now() - m_lastCallAt >= interval()) {
             co_await load();
         }
@@ -114,7 +114,7 @@
 }
 
 // Queues all records again once the store's epoch rises: a store restored from a backup has lost the later writes.
-void QuarantineStore::noteEpoch()
+void QuarantineStore::recordEpoch()
 {
     if (m_api.epoch() > m_epoch) {
         m_epoch = m_api.epoch();
@@ -131,7 +131,7 @@
         log::Line{log::Event::PlatformUnreachable}.add("op", "quarantine").add("code", int64_t{std::get<Error>(result).code});
         co_return false;
     }
-    noteEpoch();
+    recordEpoch();
     ++m_loadCount;
     for (const auto &object : std::get<platform::Listing>(result).items) {
         co_await applyEntry(object);
@@ -144,8 +144,8 @@
 {
     const auto now = Clock::now();
     const auto entry = parseEntry(object);
-    const auto *record = std::get_if<Record>(&entry);
-    const auto *answer = std::get_if<Answer>(&entry);
+    const auto *record = std::get_if<CrashRecord>(&entry);
+    const auto *answer = std::get_if<CompleteResponse>(&entry);
     if (!record && !answer) {
         logUnreadable(object.name);
         co_return;
@@ -156,9 +156,9 @@
             co_await m_api.remove(recordKind, object.name, object.version); // a failed removal is repeated after the next listing
         }
     } else if (record) {
-        m_quarantine.told(*record, now);
+        m_quarantine.merge(*record, now);
     } else {
-        m_quarantine.told(*answer);
+        m_quarantine.merge(*answer);
     }
 }
 
@@ -187,7 +187,7 @@
 // that a delayed write can't overwrite what another router has added.
 Task<bool> QuarantineStore::save(uint64_t content)
 {
-    const std::string name = text::hex(content);
+    const std::string name = text::toHex(content);
     for (int attempt = 0; attempt < m_options.maxSaveAttempts; ++attempt) {
         auto stored = co_await m_api.get(recordKind, name, platform::Freshness::Current);
         if (!ok(stored) && std::get<Error>(stored).code != store::NotFound) {
@@ -195,9 +195,9 @@
         }
         const auto *object = std::get_if<platform::Object>(&stored);
         const auto entry = object ? parseEntry(*object) : Entry{};
-        const auto *record = std::get_if<Record>(&entry);
+        const auto *record = std::get_if<CrashRecord>(&entry);
         if (record) {
-            m_quarantine.told(*record, Clock::now());
+            m_quarantine.merge(*record, Clock::now());
         }
         const auto own = m_quarantine.find(content);
         const bool current = own ? record && record->endpoints == own->endpoints : !record;
@@ -214,7 +214,7 @@
 
 // Writes the record over storedVersion, or removes the stored one when there is
 // no record. Returns 0 on success, else the error code.
-Task<int> QuarantineStore::writeRecord(std::string name, std::optional<Record> record, uint64_t storedVersion)
+Task<int> QuarantineStore::writeRecord(std::string name, std::optional<CrashRecord> record, uint64_t storedVersion)
 {
     Result<platform::Object> result = Error{};
     if (record) {
--- a/src/quarantine_store.h
+++ b/src/quarantine_store.h
@@ -19,14 +19,14 @@
 
 /// Returns the value that an operator writes in place of a record to release a
 /// content: the crashes so far no longer count. It names the author and the reason.
-nlohmann::json releaseBy(const std::string &author, const std::string &reason);
+nlohmann::json makeReleaseRecord(const std::string &author, const std::string &reason);
 
 /// Intervals and limits of the calls to the store.
-struct StoreOptions {
-    Millis reload{30000}; ///< between listings; other routers send updates within a second
-    Millis reloadAlone{2000}; ///< between listings while no other router is heard
+struct QuarantineStoreOptions {
+    Millis reloadInterval{30000}; ///< between listings; other routers send updates within a second
+    Millis reloadIntervalAlone{2000}; ///< between listings while no other router is heard
     /// Before the second listing: the first may be served by a lagging replica and miss what was written just before the start.
-    Millis reloadSoon{5000};
+    Millis secondLoadDelay{5000};
     Millis retryDelay{1000}; ///< after a failed call
     Millis savePollInterval{100}; ///< between checks for unsaved records; a check makes no call
     int maxSaveAttempts = 3; ///< for one record that other routers write at the same time
@@ -39,7 +39,7 @@
     /// isAlone returns true while no other router is heard. isSweeper returns
     /// true when this router removes expired records; one router does.
     QuarantineStore(platform::ObjectApi &api, RequestQuarantine &quarantine, std::function<bool()> isAlone, std::function<bool()> isSweeper,
-                    StoreOptions options = {});
+                    QuarantineStoreOptions options = {});
 
     /// Loads the records periodically and saves changed ones, until stop() is called.
     Task<void> run();
@@ -55,10 +55,10 @@
     Task<bool> save(uint64_t content);
 
 private:
-    void noteEpoch();
+    void recordEpoch();
     Task<void> saveAll();
     Task<void> applyEntry(platform::Object object);
-    Task<int> writeRecord(std::string name, std::optional<Record> record, uint64_t storedVersion);
+    Task<int> writeRecord(std::string name, std::optional<CrashRecord> record, uint64_t storedVersion);
     Millis interval() const;
     void logUnreadable(const std::string &name);
 
@@ -66,7 +66,7 @@
     RequestQuarantine &m_quarantine;
     std::function<bool()> m_isAlone;
     std::function<bool()> m_isSweeper;
-    StoreOptions m_options;
+    QuarantineStoreOptions m_options;
     std::set<std::string> m_loggedUnreadable; ///< names of unreadable entries that were logged
     int m_loadCount = 0;
     store::Epoch m_epoch = 0;
--- a/src/freshness.h
+++ b/src/query_schedule.h
@@ -12,10 +12,10 @@
 {
 
 /// Times of Freshness, each a fraction of the bound within which a change must be in force.
-struct FreshnessOptions {
+struct QueryScheduleOptions {
     /// Watch timeout of the router that queries the store for the others. The end of a watch confirms that nothing has changed, so
     /// it bounds the age of the peers' state.
-    Millis watchWait{600};
+    Millis watchTimeout{600};
     /// Maximum age of a confirmation; the router queries the store itself once it is older. It exceeds a watch timeout plus two
     /// datagram rounds. If a change is not announced, typically because the querying router hangs or has failed, it is delayed by at most this.
     Millis maxAge{1350};
@@ -28,7 +28,7 @@
 };
 
 /// Returns the options for deployments in which a change must be in force within a bound, which is clamped to minBound to maxBound.
-inline FreshnessOptions freshnessWithin(Millis bound)
+inline QueryScheduleOptions queryScheduleWithin(Millis bound)
 {
     constexpr Millis minBound{1000}; ///< peers cannot inform each other in less than three datagram rounds
     constexpr Millis maxBound{3000}; ///< entries expire after 3.6 s of an outage; every router must notice an outage before that
@@ -36,19 +36,19 @@
     const auto fraction = [base](double x) {
         return Millis(static_cast<int64_t>(base * x));
     };
-    FreshnessOptions options;
-    options.watchWait = fraction(0.20);
+    QueryScheduleOptions options;
+    options.watchTimeout = fraction(0.20);
     options.maxAge = fraction(0.45);
     options.rankDelay = fraction(0.05);
     return options;
 }
 
 /// Decides for one kind of objects; performs no I/O.
-class Freshness
+class QuerySchedule
 {
 public:
     /// jitter is drawn once per router from 0 to 1, so that routers of equal rank do not query together.
-    explicit Freshness(FreshnessOptions options = {}, double jitter = 0)
+    explicit QuerySchedule(QueryScheduleOptions options = {}, double jitter = 0)
         : m_options(options)
         , m_jitter(jitter)
     {
@@ -80,13 +80,13 @@
         return std::max(m_confirmedAt, m_confirmationsExpectedFrom) + m_options.maxAge
             + std::chrono::duration_cast<Clock::duration>(m_options.rankDelay * steps);
     }
-    const FreshnessOptions &options() const
+    const QueryScheduleOptions &options() const
     {
         return m_options;
     }
 
 private:
-    FreshnessOptions m_options;
+    QueryScheduleOptions m_options;
     double m_jitter;
     Clock::time_point m_confirmedAt{};
     Clock::time_point m_confirmationsExpectedFrom{};
--- a/src/read_policy.h
+++ b/src/read_policy.h
@@ -14,7 +14,7 @@
 struct ReadPolicyOptions {
     /// Interval of a follower's current watches in normal operation. They reveal a replica that lags without any other sign, and cost
     /// 0.1 calls/s per follower.
-    Millis checkEvery{10000};
+    Millis currentReadInterval{10000};
     /// Duration of current watches after a sign of a problem. A store that has dropped its history answers from stale replicas for up
     /// to 12 s.
     Millis currentOnlyPeriod{20000};
@@ -39,7 +39,7 @@
     /// Returns how current a follower's next watch must be, given the time of its last current answer.
     platform::Freshness choose(Clock::time_point lastCurrent, Clock::time_point now) const
     {
-        const bool needsCurrent = now < m_currentOnlyUntil || now - lastCurrent >= m_options.checkEvery;
+        const bool needsCurrent = now < m_currentOnlyUntil || now - lastCurrent >= m_options.currentReadInterval;
         return needsCurrent ? platform::Freshness::Current : platform::Freshness::MayLag;
     }
     /// Reports a problem with the store: replicas may lag far behind.
@@ -47,7 +47,7 @@
     {
         requireCurrentUntil(now + m_options.currentOnlyPeriod);
     }
-    /// Reports that the store was restored from an older copy: known revisions are no longer comparable.
+    /// Reports that the store was restored from a backup: known revisions are no longer comparable.
     void recordRestore(Clock::time_point now)
     {
         m_newestRevision = 0;
@@ -55,8 +55,8 @@
     }
     /// Evaluates an answered watch: its freshness and revision, whether it had changes, when it was requested, and the freshness of the
     /// follower's previous answer.
-    void answered(platform::Freshness freshness, uint64_t revision, bool hasChanges, Clock::time_point askedAt, Clock::time_point now,
-                  platform::Freshness previous = platform::Freshness::MayLag)
+    void recordAnswer(platform::Freshness freshness, uint64_t revision, bool hasChanges, Clock::time_point askedAt, Clock::time_point now,
+                      platform::Freshness previous = platform::Freshness::MayLag)
     {
         const bool behind = freshness == platform::Freshness::MayLag && revision < m_newestRevision;
         const bool previousFromReplica = freshness == platform::Freshness::Current && previous == platform::Freshness::MayLag;
--- a/src/router_configuration.cpp
+++ b/src/router_configuration.cpp
@@ -26,22 +26,22 @@
     entry::Route route = makeRoute(name, workClass, settings);
     if (workClass.kind == EndpointKind::Service) {
         route.kind = entry::RequestKind::NonIdempotent;
-        route.pathPrefix = serviceCalls;
+        route.pathPrefix = serviceCallPrefix;
         out.routes.push_back(std::move(route));
         return;
     }
     route.kind = entry::RequestKind::Idempotent;
-    route.pathPrefix = wholeChats;
+    route.pathPrefix = unstreamedChatPrefix;
     out.routes.push_back(route);
     route.kind = entry::RequestKind::Stream;
     route.resumable = true;
-    route.pathPrefix = streamedChats;
+    route.pathPrefix = streamedChatPrefix;
     out.routes.push_back(std::move(route));
 }
 
 } // namespace
 
-entry::Configuration configurationOf(const catalogue::Snapshot &snapshot, const settings::RouterSettings &settings)
+entry::Configuration buildConfiguration(const catalogue::Snapshot &snapshot, const settings::RouterSettings &settings)
 {
     entry::Configuration out;
     out.version = static_cast<int64_t>(snapshot.revision);
--- a/src/router_constraints.cpp
+++ b/src/router_constraints.cpp
@@ -29,7 +29,7 @@
     }
     for (const auto &e : m_endpoints) {
         if (isEvacuated(e) && !domains.count(e.zone)) {
-            extendCold(e.id, now + m_coldLimiter.coldFor(e.pool));
+            extendCold(e.id, now + m_coldLimiter.coldDuration(e.pool));
         }
     }
     m_evacuated = std::move(domains);
@@ -54,7 +54,7 @@
     m_coldLimiter.setRouters(self, others);
 }
 
-void RoutingTable::noteCold(const std::string &id, Clock::time_point until)
+void RoutingTable::recordCold(const std::string &id, Clock::time_point until)
 {
     std::lock_guard lock(m_mutex);
     if (findListed(id)) {
@@ -72,9 +72,9 @@
 // late, or never.
 void RoutingTable::assumeCold(const Endpoint &endpoint, Clock::time_point now)
 {
-    const auto coldFor = m_coldLimiter.coldFor(endpoint.pool);
-    if (coldFor > Millis(0) && !m_unlistedAt.count(incarnationKey(endpoint))) {
-        extendCold(endpoint.id, now + coldFor);
+    const auto coldDuration = m_coldLimiter.coldDuration(endpoint.pool);
+    if (coldDuration > Millis(0) && !m_unlistedAt.count(incarnationKey(endpoint))) {
+        extendCold(endpoint.id, now + coldDuration);
     }
 }
 
@@ -130,7 +130,7 @@
 
 // The index of the member that the pool's policy picks.
 std::optional<std::size_t> RoutingTable::pickMember(const std::string &name, Pool &pool, const placement::Affinity &requestAffinity,
-                                                    const std::set<std::string> &exclude, Clock::time_point now, const Constraints &constraints)
+                                                    const std::set<std::string> &exclude, Clock::time_point now, const PlacementConstraints &constraints)
 {
     placement::Affinity affinity = requestAffinity;
     for (const auto &holder : likelyHolders(requestAffinity.conversation, now, constraints)) {
@@ -143,7 +143,7 @@
     for (std::size_t i = 0; i < pool.members.size(); ++i) {
         const auto &m = pool.members[i];
         const auto &health = m_health[m.id];
-        const bool candidate = !exclude.count(m.id) && !m_refusals.backsOffUntil(m.id, now) && health.suspectUntil <= now && health.ejectedUntil <= now
+        const bool candidate = !exclude.count(m.id) && !m_refusals.backOffEnd(m.id, now) && health.suspectUntil <= now && health.ejectedUntil <= now
             && constraints.regions.allows(m.region);
         if (candidate && limited && health.coldUntil > now) {
             cold.push_back(i);
@@ -163,7 +163,7 @@
 }
 
 std::optional<Endpoint> RoutingTable::acquire(const std::string &pool, const placement::Affinity &affinity, const std::set<std::string> &exclude,
-                                              Clock::time_point now, const Constraints &constraints)
+                                              Clock::time_point now, const PlacementConstraints &constraints)
 {
     std::lock_guard lock(m_mutex);
     auto it = m_pools.find(pool);
@@ -173,7 +173,7 @@
     }
     std::visit(
         [&](auto &picker) {
-            picker.placed(*index, now);
+            picker.requestStarted(*index, now);
         },
         it->second.picker);
     const Endpoint &chosen = it->second.members[*index];
@@ -183,7 +183,7 @@
     return chosen;
 }
 
-bool RoutingTable::acquireAgain(const Endpoint &endpoint, Clock::time_point now)
+bool RoutingTable::acquireForResend(const Endpoint &endpoint, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
     if (m_refusals.refuses(endpoint, now) || isEvacuated(endpoint)
@@ -202,7 +202,7 @@
     return failed || m_refusals.isLeaving(endpoint);
 }
 
-std::optional<Clock::time_point> RoutingTable::backOffEnds(const std::string &pool, Clock::time_point now, const Constraints &constraints) const
+std::optional<Clock::time_point> RoutingTable::earliestBackOffEnd(const std::string &pool, Clock::time_point now, const PlacementConstraints &constraints) const
 {
     std::lock_guard lock(m_mutex);
     std::optional<Clock::time_point> first;
@@ -210,7 +210,7 @@
         if (e.pool != pool || isEvacuated(e) || isFailedOrLeaving(e, now) || !constraints.regions.allows(e.region)) {
             continue;
         }
-        const auto until = m_refusals.backsOffUntil(e.id, now);
+        const auto until = m_refusals.backOffEnd(e.id, now);
         if (!until) {
             return std::nullopt;
         }
@@ -219,7 +219,8 @@
     return first;
 }
 
-Obstacle RoutingTable::obstacle(const std::string &pool, const std::set<std::string> &exclude, Clock::time_point now, const Constraints &constraints) const
+NoEndpointReason RoutingTable::noEndpointReason(const std::string &pool, const std::set<std::string> &exclude, Clock::time_point now,
+                                                const PlacementConstraints &constraints) const
 {
     std::lock_guard lock(m_mutex);
     bool evacuated = false;
@@ -235,12 +236,12 @@
         cold = cold || (allowed && !isEvacuated(e) && isCold(e, now));
     }
     if (cold) {
-        return Obstacle::Cold;
+        return NoEndpointReason::Cold;
     }
     if (evacuated) {
-        return Obstacle::Evacuated;
+        return NoEndpointReason::Evacuated;
     }
-    return otherRegion ? Obstacle::Region : Obstacle::Unusable;
+    return otherRegion ? NoEndpointReason::Region : NoEndpointReason::Unusable;
 }
 
 } // namespace yucca::router
--- a/src/router_control.cpp
+++ b/src/router_control.cpp
@@ -14,7 +14,7 @@
 constexpr Millis maxRetryDelay{2000};
 
 /// After a restore of the store, operators and endpoints rewrite what it lost within about 2 s.
-constexpr Millis restorePause{5000};
+constexpr Millis relistDelayAfterRestore{5000};
 
 void logRejected(const std::string &entry, const Findings &findings)
 {
@@ -32,13 +32,13 @@
     , m_snapshot(std::make_shared<catalogue::Snapshot>())
 {
     FollowerOptions options;
-    options.watchWait = Millis(settings.watchTimeoutMs);
-    options.longestPause = maxRetryDelay;
+    options.watchTimeout = Millis(settings.watchTimeoutMs);
+    options.maxRetryDelay = maxRetryDelay;
     // No pause between a change and the next watch, as calls to this store are
     // free. With a pause, a router that has just started missed the endpoints that
     // joined right after the first one when an outage of the store followed.
-    options.afterNews = Millis(0);
-    options.restorePause = restorePause;
+    options.changeCoalescingDelay = Millis(0);
+    options.relistDelayAfterRestore = relistDelayAfterRestore;
     for (const auto &kind : kinds()) {
         m_followed.push_back(std::make_unique<Followed>(*this, api, kind, options));
     }
@@ -78,7 +78,7 @@
     co_return reached;
 }
 
-void Control::Sink::listed(const platform::Listing &listing, platform::Freshness)
+void Control::Sink::onListing(const platform::Listing &listing, platform::Freshness)
 {
     control.m_view.applyListing(kind, listing);
     for (const auto &followed : control.m_followed) {
@@ -90,17 +90,17 @@
     control.publish();
 }
 
-void Control::Sink::restored()
+void Control::Sink::onStoreRestored()
 {
     control.m_view.resetVersions(kind);
 }
 
-void Control::Sink::changed(const platform::Object &object, bool deleted)
+void Control::Sink::onChange(const platform::Object &object, bool deleted)
 {
     dirty = control.m_view.apply(object, deleted) || dirty;
 }
 
-void Control::Sink::batchEnded()
+void Control::Sink::onBatchEnd()
 {
     if (dirty) {
         dirty = false;
@@ -113,7 +113,7 @@
 void Control::publish()
 {
     auto snapshot = m_view.publish();
-    m_published.put(configurationOf(*snapshot, m_settings));
+    m_published.applyUnchecked(buildConfiguration(*snapshot, m_settings));
     m_published.replaceEvacuated(snapshot->evacuated());
     m_published.replaceEndpoints(snapshot->endpoints);
     {
--- a/src/router_control.h
+++ b/src/router_control.h
@@ -51,16 +51,16 @@
         Control &control;
         std::string kind;
         bool dirty = false; ///< changes were applied that are not published yet
-        void listed(const platform::Listing &listing, platform::Freshness freshness);
-        void listedSoFar(const platform::Listing &)
+        void onListing(const platform::Listing &listing, platform::Freshness freshness);
+        void onPartialListing(const platform::Listing &)
         {
         }
-        void changed(const platform::Object &object, bool deleted);
-        void batchEnded();
-        void regained(Clock::duration)
+        void onChange(const platform::Object &object, bool deleted);
+        void onBatchEnd();
+        void onStoreRecovered(Clock::duration)
         {
         }
-        void restored();
+        void onStoreRestored();
     };
     struct Followed {
         Followed(Control &control, platform::ObjectApi &api, const std::string &kind, FollowerOptions options);
--- a/src/router_core.cpp
+++ b/src/router_core.cpp
@@ -82,8 +82,8 @@
             restarted.insert(e.id);
             ++m_restarts;
         }
-        if (!before && e.born == 0) {
-            m_refusals.noteLeaving(e, false, now); // an endpoint without a start time: only its return to the list indicates a new incarnation
+        if (!before && e.startedAtMs == 0) {
+            m_refusals.recordLeaving(e, false, now); // an endpoint without a start time: only its return to the list indicates a new incarnation
         }
         if (!m_endpoints.empty() && (!before || restarted.count(e.id))) {
             m_health[e.id].joinedAt = now;
@@ -106,13 +106,13 @@
     return nullptr;
 }
 
-uint64_t RoutingTable::restarts() const
+uint64_t RoutingTable::restartCount() const
 {
     std::lock_guard lock(m_mutex);
     return m_restarts;
 }
 
-bool RoutingTable::isCurrent(const Endpoint &endpoint) const
+bool RoutingTable::isCurrentIncarnation(const Endpoint &endpoint) const
 {
     std::lock_guard lock(m_mutex);
     return !isSuperseded(endpoint);
@@ -125,22 +125,22 @@
     return current && !sameIncarnation(*current, endpoint);
 }
 
-Standing RoutingTable::standingOf(const Endpoint &endpoint) const
+ListingState RoutingTable::listingState(const Endpoint &endpoint) const
 {
     std::lock_guard lock(m_mutex);
     if (isSuperseded(endpoint)) {
-        return Standing::Restarted;
+        return ListingState::Restarted;
     }
     if (!findListed(endpoint.id)) {
-        return Standing::Unlisted;
+        return ListingState::Unlisted;
     }
-    return m_refusals.isLeaving(endpoint) || !contains(m_endpoints, endpoint.id) ? Standing::Leaving : Standing::Live;
+    return m_refusals.isLeaving(endpoint) || !contains(m_endpoints, endpoint.id) ? ListingState::Leaving : ListingState::Live;
 }
 
-bool RoutingTable::noteLeaving(const Endpoint &endpoint, bool leaving, Clock::time_point now)
+bool RoutingTable::recordLeaving(const Endpoint &endpoint, bool leaving, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
-    const bool changed = m_refusals.noteLeaving(endpoint, leaving, now);
+    const bool changed = m_refusals.recordLeaving(endpoint, leaving, now);
     if (changed) {
         rebuildPools();
     }
@@ -150,7 +150,7 @@
 bool RoutingTable::backsOff(const Endpoint &endpoint, Clock::time_point now) const
 {
     std::lock_guard lock(m_mutex);
-    return m_refusals.backsOffUntil(endpoint.id, now).has_value();
+    return m_refusals.backOffEnd(endpoint.id, now).has_value();
 }
 
 bool RoutingTable::backOff(const Endpoint &endpoint, Clock::time_point until)
@@ -164,9 +164,9 @@
     constexpr int maxDoublings = 10;
     std::lock_guard lock(m_mutex);
     auto &health = m_health[id];
-    const Millis pause = m_options.suspectFor * (1 << std::min(health.failures, maxDoublings));
+    const Millis pause = m_options.suspectDuration * (1 << std::min(health.failures, maxDoublings));
     ++health.failures;
-    health.suspectUntil = now + std::min(pause, m_options.suspectForMost);
+    health.suspectUntil = now + std::min(pause, m_options.maxSuspectDuration);
     if (const auto *endpoint = findListed(id)) {
         assumeCold(*endpoint, now); // it may be restarting under the same id
     }
@@ -185,7 +185,7 @@
     return it == m_pools.end() ? 0 : it->second.members.size();
 }
 
-void RoutingTable::recovered(const std::string &id)
+void RoutingTable::clearFailures(const std::string &id)
 {
     std::lock_guard lock(m_mutex);
     auto &health = m_health[id];
@@ -200,7 +200,7 @@
     case Policy::Affinity:
         return placement::PrefixAffinity(m_options.affinity);
     case Policy::Bounded:
-        return placement::OwnBound(m_options.virtualNodes, m_options.affinity.loadFactor);
+        return placement::BoundedLoadHashing(m_options.virtualNodes, m_options.affinity.loadFactor);
     case Policy::Home:
         return placement::PromptHome(m_options.home);
     case Policy::LeastLoaded:
@@ -313,51 +313,51 @@
     if (auto *pool = findPool(endpoint.id, member)) {
         std::visit(
             [&](auto &picker) {
-                picker.finished(member, now);
+                picker.requestFinished(member, now);
             },
             pool->picker);
     }
 }
 
 // Forwards a load report to the picker of the endpoint's pool.
-void RoutingTable::forwardReport(const std::string &id, int64_t load, Clock::time_point heardAt)
+void RoutingTable::forwardReport(const std::string &id, int64_t load, Clock::time_point receivedAt)
 {
     std::size_t member = 0;
     if (auto *pool = findPool(id, member)) {
         std::visit(
             [&](auto &picker) {
-                picker.reported(member, load, heardAt);
+                picker.recordLoadReport(member, load, receivedAt);
             },
             pool->picker);
     }
 }
 
-void RoutingTable::reported(const std::string &id, int64_t load, Clock::time_point now)
+void RoutingTable::recordLoadReport(const std::string &id, int64_t load, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
     auto &health = m_health[id];
-    health.heardLoad = load;
-    health.heardAt = now;
+    health.reportedLoad = load;
+    health.receivedAt = now;
     forwardReport(id, load, now);
 }
 
-void RoutingTable::toldOf(const peers::LoadReport &report)
+void RoutingTable::mergePeerReport(const peers::LoadReport &report)
 {
     std::lock_guard lock(m_mutex);
     const auto health = m_health.find(report.endpoint);
-    if (health != m_health.end() && report.heardAt < health->second.joinedAt) {
+    if (health != m_health.end() && report.receivedAt < health->second.joinedAt) {
         return; // from an earlier incarnation
     }
-    forwardReport(report.endpoint, report.load, report.heardAt);
+    forwardReport(report.endpoint, report.load, report.receivedAt);
 }
 
-std::vector<peers::LoadReport> RoutingTable::heardSince(Clock::time_point then) const
+std::vector<peers::LoadReport> RoutingTable::reportsReceivedSince(Clock::time_point then) const
 {
     std::lock_guard lock(m_mutex);
     std::vector<peers::LoadReport> out;
     for (const auto &[id, health] : m_health) {
-        if (health.heardAt > then) {
-            out.push_back({id, health.heardLoad, health.heardAt});
+        if (health.receivedAt > then) {
+            out.push_back({id, health.reportedLoad, health.receivedAt});
         }
     }
     return out;
--- a/src/router_core.h
+++ b/src/router_core.h
@@ -4,7 +4,7 @@
 
 #include "cold_limit.h"
 #include "endpoint_refusals.h"
-#include "load_digest.h"
+#include "peer_message.h"
 #include "prompt_holders.h"
 #include "task.h"
 #include "yucca/placement.h"
@@ -26,13 +26,13 @@
 {
 
 /// What limits the choice of an endpoint besides load.
-struct Constraints {
+struct PlacementConstraints {
     int priority = 0; ///< 0 is the most urgent
     RegionConstraint regions;
 };
 
 /// Why no endpoint of a pool can receive a request.
-enum class Obstacle {
+enum class NoEndpointReason {
     Unusable, ///< no endpoint is listed, or all have failed recently
     Evacuated, ///< all remaining endpoints are in evacuated failure domains
     Cold, ///< all remaining endpoints are cold, and this router has used up its share of their allowance
@@ -46,12 +46,12 @@
     placement::AffinityOptions affinity;
     placement::HomeOptions home;
     int virtualNodes = 64; ///< points per member on the ring of Policy::Bounded
-    Millis suspectFor{500}; ///< time without requests after a first failed connection; doubled by each further failure up to suspectForMost
-    Millis suspectForMost{8000};
+    Millis suspectDuration{500}; ///< time without requests after a first failed connection; doubled by each further failure up to maxSuspectDuration
+    Millis maxSuspectDuration{8000};
 };
 
 /// The listing state of an endpoint that has received requests.
-enum class Standing {
+enum class ListingState {
     Live,
     Leaving, ///< draining, or listed as leaving
     Restarted, ///< a later incarnation is listed
@@ -59,7 +59,7 @@
 };
 
 /// Where a prompt is likely held when an endpoint is about to receive it.
-struct PromptBelief {
+struct PromptEstimate {
     bool held = false; ///< the endpoint received the prompt recently
     std::optional<Endpoint> source; ///< if not held: another endpoint that likely holds it
 };
@@ -76,7 +76,7 @@
     bool setEndpoints(const std::vector<Endpoint> &endpoints, Clock::time_point now = Clock::now());
     /// Records an endpoint's own report of whether it is leaving. A leaving endpoint receives no further requests, even
     /// while the VM list shows this incarnation as live. Returns true if the state changed.
-    bool noteLeaving(const Endpoint &endpoint, bool leaving, Clock::time_point now);
+    bool recordLeaving(const Endpoint &endpoint, bool leaving, Clock::time_point now);
     /// Excludes an endpoint until the given time, as its answer requested. Returns true if this starts or extends the back-off.
     bool backOff(const Endpoint &endpoint, Clock::time_point until);
     /// Excludes an endpoint after a failed connection, for a time that doubles with each consecutive failure.
@@ -86,28 +86,29 @@
     /// The number of endpoints of a pool that accept new requests.
     std::size_t poolSize(const std::string &pool) const;
     /// Clears the failure count and the suspicion of an endpoint that answered.
-    void recovered(const std::string &id);
+    void clearFailures(const std::string &id);
     /// Records an endpoint's own report of its requests in flight.
-    void reported(const std::string &id, int64_t load, Clock::time_point now);
+    void recordLoadReport(const std::string &id, int64_t load, Clock::time_point now);
     /// Records a load report that a peer router received. A report older than the last one is ignored.
-    void toldOf(const peers::LoadReport &report);
+    void mergePeerReport(const peers::LoadReport &report);
     /// The reports that this router itself received after the given time.
-    std::vector<peers::LoadReport> heardSince(Clock::time_point then) const;
+    std::vector<peers::LoadReport> reportsReceivedSince(Clock::time_point then) const;
 
     /// Picks an endpoint of a pool, except those in exclude, and counts one request in flight on it. Returns nothing if
-    /// no endpoint can receive the request; obstacle() gives the reason.
+    /// no endpoint can receive the request; noEndpointReason() gives the reason.
     std::optional<Endpoint> acquire(const std::string &pool, const placement::Affinity &affinity, const std::set<std::string> &exclude, Clock::time_point now,
-                                    const Constraints &constraints = {});
+                                    const PlacementConstraints &constraints = {});
     /// Counts one more request to an endpoint that was acquired. Returns false if the endpoint must not receive a
     /// request now.
-    bool acquireAgain(const Endpoint &endpoint, Clock::time_point now);
+    bool acquireForResend(const Endpoint &endpoint, Clock::time_point now);
     /// True while the endpoint's back-off lasts.
     bool backsOff(const Endpoint &endpoint, Clock::time_point now) const;
     /// The earliest end of a back-off in the pool, if all endpoints that could otherwise receive the request are
     /// backing off. Returns nothing if another endpoint can receive it.
-    std::optional<Clock::time_point> backOffEnds(const std::string &pool, Clock::time_point now, const Constraints &constraints = {}) const;
+    std::optional<Clock::time_point> earliestBackOffEnd(const std::string &pool, Clock::time_point now, const PlacementConstraints &constraints = {}) const;
     /// The reason why acquire() finds no endpoint of a pool.
-    Obstacle obstacle(const std::string &pool, const std::set<std::string> &exclude, Clock::time_point now, const Constraints &constraints = {}) const;
+    NoEndpointReason noEndpointReason(const std::string &pool, const std::set<std::string> &exclude, Clock::time_point now,
+                                      const PlacementConstraints &constraints = {}) const;
 
     /// Replaces the set of evacuated failure domains, whose endpoints receive no requests. Endpoints of a domain that
     /// is no longer in the set are treated as cold.
@@ -119,20 +120,20 @@
     /// Replaces the routers that share the limits on cold endpoints; self is this router's id.
     void setRouters(const std::string &self, const std::vector<std::string> &others);
     /// Treats a listed endpoint as cold until the given time.
-    void noteCold(const std::string &id, Clock::time_point until);
+    void recordCold(const std::string &id, Clock::time_point until);
     /// The number of live endpoints that are treated as cold.
     std::size_t coldCount(Clock::time_point now) const;
 
     /// Records that an endpoint received a prompt, which it likely holds from now on.
-    void tookPrompt(uint64_t prompt, const Endpoint &endpoint, Clock::time_point now);
+    void recordPromptHolder(uint64_t prompt, const Endpoint &endpoint, Clock::time_point now);
     /// Records an announcement of a peer router that an endpoint received a prompt.
-    void toldOfPrompt(const peers::PromptNews &news, Clock::time_point now);
+    void mergePeerPrompt(const peers::PromptAnnouncement &announcement, Clock::time_point now);
     /// Removes and returns the oldest prompts, at most `limit`, that this router has not yet announced to its peers.
-    std::vector<peers::PromptNews> takePromptNews(std::size_t limit);
+    std::vector<peers::PromptAnnouncement> takePromptAnnouncements(std::size_t limit);
     /// At most `limit` prompts with the endpoints that likely hold them, the most recently recorded first.
-    std::vector<peers::PromptNews> knownPrompts(std::size_t limit, Clock::time_point now) const;
-    /// Whether the receiving endpoint (taker) likely holds a prompt and, if not, which other endpoint does.
-    PromptBelief beliefOf(uint64_t prompt, const Endpoint &taker, Clock::time_point now, const Constraints &constraints = {}) const;
+    std::vector<peers::PromptAnnouncement> knownPrompts(std::size_t limit, Clock::time_point now) const;
+    /// Whether the receiving endpoint likely holds a prompt and, if not, which other endpoint does.
+    PromptEstimate estimatePrompt(uint64_t prompt, const Endpoint &receiver, Clock::time_point now, const PlacementConstraints &constraints = {}) const;
     /// The home of a prompt regardless of load: the first member in the prompt's rendezvous order. Returns nothing for
     /// an empty pool.
     std::optional<Endpoint> homeOf(const std::string &pool, uint64_t prompt) const;
@@ -144,11 +145,11 @@
     void release(const Endpoint &endpoint, Clock::time_point now);
     /// False once a later incarnation of the endpoint is listed. What was learned from the earlier incarnation then no
     /// longer applies.
-    bool isCurrent(const Endpoint &endpoint) const;
+    bool isCurrentIncarnation(const Endpoint &endpoint) const;
     /// The listing state of an endpoint that was acquired earlier.
-    Standing standingOf(const Endpoint &endpoint) const;
+    ListingState listingState(const Endpoint &endpoint) const;
     /// The number of restarts, under an unchanged id, of listed endpoints so far.
-    uint64_t restarts() const;
+    uint64_t restartCount() const;
 
     /// The live endpoints, sorted by id.
     std::vector<Endpoint> endpoints() const;
@@ -156,7 +157,7 @@
     nlohmann::json status() const;
 
 private:
-    using Picker = std::variant<placement::PrefixAffinity, placement::OwnBound, placement::PromptHome, placement::LeastLoaded, placement::RoundRobin>;
+    using Picker = std::variant<placement::PrefixAffinity, placement::BoundedLoadHashing, placement::PromptHome, placement::LeastLoaded, placement::RoundRobin>;
     struct Pool {
         EndpointKind kind = EndpointKind::Engine; ///< kind that the picker was made for
         Picker picker;
@@ -171,12 +172,12 @@
         Clock::time_point coldUntil{};
         int64_t inflight = 0;
         int64_t placed = 0;
-        int64_t heardLoad = 0; ///< load in the last report that this router itself received
-        Clock::time_point heardAt{};
+        int64_t reportedLoad = 0; ///< load in the last report that this router itself received
+        Clock::time_point receivedAt{};
     };
     Picker makePicker(EndpointKind kind) const;
     std::optional<std::size_t> pickMember(const std::string &name, Pool &pool, const placement::Affinity &requestAffinity, const std::set<std::string> &exclude,
-                                          Clock::time_point now, const Constraints &constraints);
+                                          Clock::time_point now, const PlacementConstraints &constraints);
     std::size_t allowCold(const std::string &name, const Pool &pool, const std::vector<std::size_t> &cold, int priority, std::size_t warm,
                           Clock::time_point now, placement::Usable &usable);
     bool isCold(const Endpoint &endpoint, Clock::time_point now) const;
@@ -193,11 +194,11 @@
     bool isListed(const Endpoint &endpoint) const;
     bool isSuperseded(const Endpoint &endpoint) const;
     const Endpoint *firstInOrder(const std::string &pool, uint64_t prompt, const std::string &excluded, Clock::time_point now,
-                                 const Constraints &constraints) const;
-    std::vector<Endpoint> likelyHolders(uint64_t prompt, Clock::time_point now, const Constraints &constraints) const;
+                                 const PlacementConstraints &constraints) const;
+    std::vector<Endpoint> likelyHolders(uint64_t prompt, Clock::time_point now, const PlacementConstraints &constraints) const;
     bool isSuspected(const std::string &id, Clock::time_point now) const;
     Pool *findPool(const std::string &id, std::size_t &member);
-    void forwardReport(const std::string &id, int64_t load, Clock::time_point heardAt);
+    void forwardReport(const std::string &id, int64_t load, Clock::time_point receivedAt);
 
     mutable std::mutex m_mutex;
     TableOptions m_options;
@@ -207,7 +208,7 @@
     std::map<std::string, std::string> m_poolNames; ///< by endpoint id
     std::map<std::string, Health> m_health;
     PromptHolders m_holders;
-    std::deque<peers::PromptNews> m_promptNews; ///< not yet announced, oldest first
+    std::deque<peers::PromptAnnouncement> m_promptAnnouncements; ///< not yet announced, oldest first
     uint64_t m_restarts = 0;
     std::set<std::string> m_evacuated; ///< failure domains
     EndpointRefusals m_refusals;
@@ -216,20 +217,20 @@
 };
 
 /// Releases an acquired endpoint at the end of its scope.
-class PlacedRequest
+class AcquiredEndpoint
 {
 public:
-    PlacedRequest(RoutingTable &table, const Endpoint &endpoint)
+    AcquiredEndpoint(RoutingTable &table, const Endpoint &endpoint)
         : m_table(table)
         , m_endpoint(endpoint)
     {
     }
-    ~PlacedRequest()
+    ~AcquiredEndpoint()
     {
         m_table.release(m_endpoint, Clock::now());
     }
-    PlacedRequest(const PlacedRequest &) = delete;
-    PlacedRequest &operator=(const PlacedRequest &) = delete;
+    AcquiredEndpoint(const AcquiredEndpoint &) = delete;
+    AcquiredEndpoint &operator=(const AcquiredEndpoint &) = delete;
 
 private:
     RoutingTable &m_table;
--- a/src/router_dialect.cpp
+++ b/src/router_dialect.cpp
@@ -60,11 +60,11 @@
 std::optional<entry::Rejection> parseChat(const http::Exchange &ex, entry::RequestProfile &p, bool &streamed)
 {
     const json body = json::parse(ex.request().body(), nullptr, false);
-    if (!body.is_object() || !body.contains("messages") || !prefix::wellFormed(body["messages"])) {
+    if (!body.is_object() || !body.contains("messages") || !prefix::isValidMessageList(body["messages"])) {
         return entry::Rejection::Malformed;
     }
     streamed = body.contains("stream") && body["stream"] == true;
-    p.affinity = prefix::affinity(p.workspace, body["messages"]);
+    p.affinity = prefix::affinityKeys(p.workspace, body["messages"]);
     return std::nullopt;
 }
 
@@ -78,18 +78,18 @@
 
 } // namespace
 
-std::optional<bool> leavingSaidIn(const std::string &header)
+std::optional<bool> parseDraining(const std::string &header)
 {
     return header.empty() ? std::nullopt : std::optional(header == "true");
 }
 
-std::string OwnDialect::requestId(const http::Exchange &ex) const
+std::string NativeDialect::requestId(const http::Exchange &ex) const
 {
     return ex.header("x-request-id");
 }
 
-std::variant<entry::RequestProfile, entry::Rejection> OwnDialect::identify(const http::Exchange &ex, const entry::ConfigurationPtr &configuration,
-                                                                           Clock::time_point now)
+std::variant<entry::RequestProfile, entry::Rejection> NativeDialect::identify(const http::Exchange &ex, const entry::ConfigurationPtr &configuration,
+                                                                              Clock::time_point now)
 {
     entry::RequestProfile p;
     p.configuration = configuration;
@@ -115,19 +115,19 @@
     } else {
         parseOperation(ex, p);
     }
-    p.route = configuration->match(workspace->workClass, isChat ? (streamed ? streamedChats : wholeChats) : serviceCalls);
+    p.route = configuration->match(workspace->workClass, isChat ? (streamed ? streamedChatPrefix : unstreamedChatPrefix) : serviceCallPrefix);
     if (!p.route) {
         return entry::Rejection::NoRoute;
     }
     p.priority = p.route->priority;
     const int64_t routeTimeoutMs = p.route->timeout.count();
-    const int64_t callerTimeoutMs = text::number(ex.header("x-deadline-ms")).value_or(routeTimeoutMs);
+    const int64_t callerTimeoutMs = text::parseNumber(ex.header("x-deadline-ms")).value_or(routeTimeoutMs);
     p.deadline = now + Millis(std::clamp<int64_t>(callerTimeoutMs, 1, routeTimeoutMs));
-    p.answerBy = p.deadline;
+    p.responseDeadline = p.deadline;
     return p;
 }
 
-http::Request OwnDialect::forwarded(const http::Exchange &ex, const entry::RequestProfile &profile, const entry::ForwardOptions &options) const
+http::Request NativeDialect::makeForwardedRequest(const http::Exchange &ex, const entry::RequestProfile &profile, const entry::ForwardOptions &options) const
 {
     http::Headers headers{{"x-request-id", profile.id},
                           {"x-workspace", profile.workspace},
@@ -143,33 +143,33 @@
     return http::makeRequest("POST", {target.data(), target.size()}, ex.request().body(), headers);
 }
 
-entry::AnswerHead OwnDialect::readHead(const http::Response &response, const entry::RequestProfile &profile) const
+entry::ResponseHead NativeDialect::readHead(const http::Response &response, const entry::RequestProfile &profile) const
 {
-    entry::AnswerHead head;
+    entry::ResponseHead head;
     head.status = response.status();
     const std::string id = response.header("x-request-id");
     // Plain services may omit the id: each request has a connection of its own.
-    head.ownAnswer = id == profile.id || (id.empty() && profile.route->kind == entry::RequestKind::NonIdempotent);
+    head.matchesRequest = id == profile.id || (id.empty() && profile.route->kind == entry::RequestKind::NonIdempotent);
     head.notExecuted = notExecuted(head.status, response.header("x-not-executed"));
-    head.retryAfter = http::backOffAskedFor(head.status, response.header("Retry-After"));
+    head.retryAfter = http::requestedBackOff(head.status, response.header("Retry-After"));
     head.authentic = true;
-    head.load = text::number(response.header("x-engine-load")).value_or(-1);
-    head.leaving = leavingSaidIn(response.header(drainingHeader));
+    head.load = text::parseNumber(response.header("x-engine-load")).value_or(-1);
+    head.leaving = parseDraining(response.header(drainingHeader));
     return head;
 }
 
-http::Headers OwnDialect::answerHeaders(const http::Response &response, const entry::RequestProfile &profile, const Endpoint &endpoint) const
+http::Headers NativeDialect::responseHeaders(const http::Response &response, const entry::RequestProfile &profile, const Endpoint &endpoint) const
 {
     const bool events = profile.route->kind == entry::RequestKind::Stream && response.status() == 200;
     return {{"Content-Type", events ? "text/event-stream" : "application/json"}, {"x-request-id", profile.id}, {"x-engine-id", endpoint.id}};
 }
 
-http::Headers OwnDialect::replayHeaders(const entry::RequestProfile &profile) const
+http::Headers NativeDialect::replayHeaders(const entry::RequestProfile &profile) const
 {
     return {{"Content-Type", "application/json"}, {"x-idempotent-replay", "true"}, {"x-request-id", profile.id}};
 }
 
-entry::RejectionAnswer OwnDialect::rejection(entry::Rejection why, Millis retryAfter) const
+entry::RejectionResponse NativeDialect::rejection(entry::Rejection why, Millis retryAfter) const
 {
     const auto outcome = nameOf(outcomeNames, entry::outcomeOf(why));
     const int64_t seconds = std::max<int64_t>(m_retryAfterS, std::chrono::ceil<std::chrono::seconds>(retryAfter).count());
--- a/src/router_main.cpp
+++ b/src/router_main.cpp
@@ -1,8 +1,8 @@
 // yucca-router: the entry router. Routes each conversation to an engine that
 // likely holds its prompt prefix, within a load bound on every engine. Runs
 // non-idempotent service calls at most once.
+#include "background_tasks.h"
 #include "cli.h"
-#include "duties.h"
 #include "entry/entry_settings.h"
 #include "log.h"
 #include "object_store.h"
@@ -52,7 +52,7 @@
         , m_table(tableOptions(settings))
         , m_control(settings, m_controlApi, m_table)
         , m_quarantine(quarantineOptions())
-        , m_duties(settings, m_controlApi, m_control, duties::httpSender(m_orderClient, m_control, m_table, settings.id), m_quarantine)
+        , m_backgroundTasks(settings, m_controlApi, m_control, background::makeHttpOrderSender(m_orderClient, m_control, m_table, settings.id), m_quarantine)
         , m_quarantineStore(
               m_controlApi, m_quarantine,
               [] {
@@ -96,14 +96,14 @@
         }
         m_supervisor.start({"duties",
                             [this] {
-                                return m_duties.run();
+                                return m_backgroundTasks.run();
                             },
                             [this] {
-                                m_duties.stop();
+                                m_backgroundTasks.stop();
                             }});
         m_supervisor.start({"records",
                             [this] {
-                                return m_router.keepRecords(m_controlApi);
+                                return m_router.maintainRecords(m_controlApi);
                             },
                             [this] {
                                 m_router.beginStop();
@@ -129,7 +129,7 @@
         log::event(log::Event::ProgramStarted,
                    "id=" + m_settings.id + " port=" + std::to_string(std::get<uint16_t>(boundPort))
                        + " policy=" + std::string(nameOf(policyNames, m_settings.policy)));
-        runBlocking(cli::stopSignal());
+        runBlocking(cli::waitForStopSignal());
         const bool clean = stop(server);
         for (auto *loop : loops) {
             loop->stop();
@@ -149,8 +149,8 @@
         options.affinity.loadFactor = s.loadFactor;
         options.affinity.fillFactor = s.fillFactor;
         options.virtualNodes = static_cast<int>(s.virtualNodes);
-        options.suspectFor = Millis(s.suspectMs);
-        options.suspectForMost = Millis(s.suspectMs * 16);
+        options.suspectDuration = Millis(s.suspectMs);
+        options.maxSuspectDuration = Millis(s.suspectMs * 16);
         return options;
     }
 
@@ -160,14 +160,14 @@
     static quarantine::QuarantineOptions quarantineOptions()
     {
         quarantine::QuarantineOptions options;
-        options.leastShared = 1;
+        options.minCrashesToShare = 1;
         return options;
     }
-    static quarantine::StoreOptions quarantineStoreOptions()
+    static quarantine::QuarantineStoreOptions quarantineStoreOptions()
     {
-        quarantine::StoreOptions options;
-        options.reloadAlone = Millis(1000);
-        options.reloadSoon = options.reloadAlone;
+        quarantine::QuarantineStoreOptions options;
+        options.reloadIntervalAlone = Millis(1000);
+        options.secondLoadDelay = options.reloadIntervalAlone;
         return options;
     }
 
@@ -188,13 +188,13 @@
         asio::post(m_controlLoop, [this] {
             m_supervisor.stop();
         });
-        runBlocking(waitForDuties());
+        runBlocking(waitForBackgroundTasks());
         m_controlLoop.stop();
         return idle;
     }
 
-    // Waits until the duties have released their lease. Watches need no wait: they end with their connections.
-    Task<void> waitForDuties()
+    // Waits until the background tasks have released their lease. Watches need no wait: they end with their connections.
+    Task<void> waitForBackgroundTasks()
     {
         const auto deadline = Clock::now() + controlStopGrace;
         while (!onlyWatchesLeft() && Clock::now() < deadline) {
@@ -219,7 +219,7 @@
     router::RoutingTable m_table;
     router::Control m_control;
     quarantine::RequestQuarantine m_quarantine;
-    duties::Duties m_duties;
+    background::BackgroundTasks m_backgroundTasks;
     quarantine::QuarantineStore m_quarantineStore;
     router::Router m_router;
     Supervisor m_supervisor;
@@ -233,7 +233,7 @@
     // or a closed log pipe must not end the process.
     std::signal(SIGHUP, SIG_IGN);
     std::signal(SIGPIPE, SIG_IGN);
-    cli::Common common;
+    cli::CommonOptions common;
     int port = -1;
     int platformPort = -1;
     char *id = nullptr;
--- a/src/router_prompts.cpp
+++ b/src/router_prompts.cpp
@@ -26,7 +26,7 @@
     }
     void consider(const Endpoint &endpoint)
     {
-        const uint64_t rank = placement::rankOf(endpoint.id, m_prompt);
+        const uint64_t rank = placement::rendezvousScoreOf(endpoint.id, m_prompt);
         if (endpoint.id != m_excluded && (!m_first || rank > m_rank)) {
             m_first = &endpoint;
             m_rank = rank;
@@ -62,7 +62,7 @@
 // The first endpoint in a prompt's rendezvous order. Endpoints listed as leaving are included, because they still hold the
 // prompts that they received.
 const Endpoint *RoutingTable::firstInOrder(const std::string &pool, uint64_t prompt, const std::string &excluded, Clock::time_point now,
-                                           const Constraints &constraints) const
+                                           const PlacementConstraints &constraints) const
 {
     RendezvousFirst first(prompt, excluded);
     for (const auto *list : {&m_endpoints, &m_leaving}) {
@@ -82,41 +82,41 @@
     return current && sameIncarnation(*current, endpoint);
 }
 
-void RoutingTable::tookPrompt(uint64_t prompt, const Endpoint &endpoint, Clock::time_point now)
+void RoutingTable::recordPromptHolder(uint64_t prompt, const Endpoint &endpoint, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
     if (!isListed(endpoint)) {
         return;
     }
     if (m_holders.record(prompt, endpoint, HolderSource::OwnRequest, now)) {
-        m_promptNews.push_back({prompt, endpoint.id});
+        m_promptAnnouncements.push_back({prompt, endpoint.id});
     }
-    if (m_promptNews.size() > maxPendingAnnouncements) {
-        m_promptNews.pop_front();
+    if (m_promptAnnouncements.size() > maxPendingAnnouncements) {
+        m_promptAnnouncements.pop_front();
     }
 }
 
-void RoutingTable::toldOfPrompt(const peers::PromptNews &news, Clock::time_point now)
+void RoutingTable::mergePeerPrompt(const peers::PromptAnnouncement &announcement, Clock::time_point now)
 {
     std::lock_guard lock(m_mutex);
-    if (const auto *endpoint = findListed(news.endpoint)) {
-        m_holders.record(news.prompt, *endpoint, HolderSource::Peer, now);
+    if (const auto *endpoint = findListed(announcement.endpoint)) {
+        m_holders.record(announcement.prompt, *endpoint, HolderSource::Peer, now);
     }
 }
 
-std::vector<peers::PromptNews> RoutingTable::takePromptNews(std::size_t limit)
+std::vector<peers::PromptAnnouncement> RoutingTable::takePromptAnnouncements(std::size_t limit)
 {
     std::lock_guard lock(m_mutex);
-    const auto end = m_promptNews.begin() + static_cast<std::ptrdiff_t>(std::min(limit, m_promptNews.size()));
-    std::vector<peers::PromptNews> taken(m_promptNews.begin(), end);
-    m_promptNews.erase(m_promptNews.begin(), end);
+    const auto end = m_promptAnnouncements.begin() + static_cast<std::ptrdiff_t>(std::min(limit, m_promptAnnouncements.size()));
+    std::vector<peers::PromptAnnouncement> taken(m_promptAnnouncements.begin(), end);
+    m_promptAnnouncements.erase(m_promptAnnouncements.begin(), end);
     return taken;
 }
 
-std::vector<peers::PromptNews> RoutingTable::knownPrompts(std::size_t limit, Clock::time_point now) const
+std::vector<peers::PromptAnnouncement> RoutingTable::knownPrompts(std::size_t limit, Clock::time_point now) const
 {
     std::lock_guard lock(m_mutex);
-    std::vector<peers::PromptNews> out;
+    std::vector<peers::PromptAnnouncement> out;
     for (const auto &held : m_holders.recent(limit, now)) {
         if (isListed(held.endpoint)) {
             out.push_back({held.prompt, held.endpoint.id});
@@ -126,7 +126,7 @@
 }
 
 // The endpoints that received a prompt and have neither restarted nor become unusable since, the latest first.
-std::vector<Endpoint> RoutingTable::likelyHolders(uint64_t prompt, Clock::time_point now, const Constraints &constraints) const
+std::vector<Endpoint> RoutingTable::likelyHolders(uint64_t prompt, Clock::time_point now, const PlacementConstraints &constraints) const
 {
     auto found = m_holders.find(prompt, now);
     std::erase_if(found, [&](const Endpoint &e) {
@@ -135,12 +135,12 @@
     return found;
 }
 
-PromptBelief RoutingTable::beliefOf(uint64_t prompt, const Endpoint &taker, Clock::time_point now, const Constraints &constraints) const
+PromptEstimate RoutingTable::estimatePrompt(uint64_t prompt, const Endpoint &receiver, Clock::time_point now, const PlacementConstraints &constraints) const
 {
     std::lock_guard lock(m_mutex);
     const auto holders = likelyHolders(prompt, now, constraints);
     const bool holds = std::any_of(holders.begin(), holders.end(), [&](const Endpoint &e) {
-        return e.id == taker.id;
+        return e.id == receiver.id;
     });
     if (holds) {
         return {true, std::nullopt};
@@ -148,13 +148,13 @@
     if (!holders.empty()) {
         return {false, holders.front()};
     }
-    // No endpoint is known to have received the prompt, so its home likely holds it. If the taker is the home only
+    // No endpoint is known to have received the prompt, so its home likely holds it. If the receiver is the home only
     // because it joined recently, the previous home does.
-    const auto *home = firstInOrder(taker.pool, prompt, "", now, constraints);
-    const auto health = m_health.find(taker.id);
+    const auto *home = firstInOrder(receiver.pool, prompt, "", now, constraints);
+    const auto health = m_health.find(receiver.id);
     const bool joinedRecently = health != m_health.end() && now - health->second.joinedAt <= recentJoinPeriod;
-    if (home && home->id == taker.id) {
-        home = joinedRecently ? firstInOrder(taker.pool, prompt, taker.id, now, constraints) : nullptr;
+    if (home && home->id == receiver.id) {
+        home = joinedRecently ? firstInOrder(receiver.pool, prompt, receiver.id, now, constraints) : nullptr;
     }
     return {false, home && !isSuspected(home->id, now) ? std::optional(*home) : std::nullopt};
 }
--- a/src/router_traffic.cpp
+++ b/src/router_traffic.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr Millis recordsCheckInterval{200}; ///< between two checks for a store that returned from an older copy; a check makes no call
+constexpr Millis recordsCheckInterval{200}; ///< between two checks for a store that was restored from a backup; a check makes no call
 constexpr Millis connectTimeout{1000}; ///< allows for one lost SYN to an endpoint in another region
 constexpr std::size_t maxIdleConnections = 32; ///< idle connections kept per endpoint; no limit is specified here
 
@@ -18,12 +18,12 @@
 {
     entry::GatewayOptions options;
     options.retries.ratio = settings.retryRatio;
-    options.retries.reserve = static_cast<double>(settings.retryReserve);
-    options.outOfDateAfter = Millis(0); // no age limit: a watch waits longer than callers do, and the catalogue is changed by hand
+    options.retries.minRetries = static_cast<double>(settings.retryReserve);
+    options.maxConfigurationAge = Millis(0); // no age limit: a watch waits longer than callers do, and the catalogue is changed by hand
     options.connectTimeout = connectTimeout;
-    options.gapPatience = 1.0; // the setting is the full pause
-    options.mostKept = maxIdleConnections;
-    options.newConnectionForSingleRuns = true;
+    options.eventGapTimeoutFactor = 1.0; // the setting is the full pause
+    options.maxIdleConnections = maxIdleConnections;
+    options.newConnectionForNonRepeatable = true;
     return options;
 }
 
@@ -57,16 +57,16 @@
         // The ids that the router assigns must differ between its threads.
         const std::string id = m_gateways.size() == 1 ? m_settings.id : m_settings.id + "." + std::to_string(m_gateways.size());
         const entry::GatewayParts parts{m_control.published(), m_table, m_admission, m_quarantine, &m_guard};
-        gateway = std::make_unique<Gateway>(parts, optionsOf(m_settings), OwnDialect(id, m_settings.retryAfterS));
+        gateway = std::make_unique<Gateway>(parts, optionsOf(m_settings), NativeDialect(id, m_settings.retryAfterS));
     }
     return *gateway;
 }
 
-Task<void> Router::keepRecords(const platform::ObjectApi &control)
+Task<void> Router::maintainRecords(const platform::ObjectApi &control)
 {
     while (!m_stopping) {
-        m_guard.noteEpoch(control.epoch(), Clock::now());
-        co_await m_guard.restoreLost();
+        m_guard.recordEpoch(control.epoch(), Clock::now());
+        co_await m_guard.rewriteLostRecords();
         co_await sleepFor(recordsCheckInterval);
     }
 }
--- a/src/router_traffic.h
+++ b/src/router_traffic.h
@@ -32,9 +32,9 @@
 
     /// Answers one request.
     Task<void> handle(http::Exchange &ex);
-    /// Restores the records of callers' requests that the store lost when it returned from an older copy, as detected
+    /// Rewrites the records of callers' requests that the store lost when it was restored from a backup, as detected
     /// by the control side. Runs until beginStop().
-    Task<void> keepRecords(const platform::ObjectApi &control);
+    Task<void> maintainRecords(const platform::ObjectApi &control);
     /// Starts a planned stop: /readyz reports not ready from now on.
     void beginStop()
     {
@@ -42,7 +42,7 @@
     }
 
 private:
-    using Gateway = entry::Gateway<OwnDialect>;
+    using Gateway = entry::Gateway<NativeDialect>;
     Gateway &gatewayOf(const asio::any_io_executor &ex);
     nlohmann::json status();
 
--- a/src/settings.h
+++ b/src/settings.h
@@ -92,7 +92,7 @@
     int64_t retryAfterS = 1; ///< minimum Retry-After for callers whose request was rejected
     int64_t stopGraceMs = 10000; ///< maximum wait for requests in flight at a graceful stop
     int64_t threads = 1; ///< number of traffic threads, in addition to the control thread
-    int64_t leaseMs = 10000; ///< term of the lease that elects the router for fleet-wide duties
+    int64_t leaseMs = 10000; ///< duration of the lease that elects the router for fleet-wide tasks
     int64_t recordRetentionS = 86400; ///< age at which idempotency records are removed; 0: never
     std::string logLevel = "info";
 };
--- a/src/shared_replica.cpp
+++ b/src/shared_replica.cpp
@@ -23,11 +23,11 @@
 
 } // namespace
 
-SharedReplica::SharedReplica(std::string kind, Rank rank, ChangeSource &source, FreshnessOptions options)
+SharedReplica::SharedReplica(std::string kind, RankProvider rank, ChangeSource &source, QueryScheduleOptions options)
     : m_kind(std::move(kind))
     , m_rank(std::move(rank))
     , m_source(source)
-    , m_freshness(options, randomJitter())
+    , m_querySchedule(options, randomJitter())
 {
 }
 
@@ -42,12 +42,12 @@
     m_confirmedRevisions.clear();
     m_newerPeerState.reset();
     if (freshness == store::Freshness::MayLag) {
-        m_freshness.expectConfirmationsFrom(now);
+        m_querySchedule.expectConfirmationsFrom(now);
         return;
     }
     applyConfirmation(listing.revision, now, now);
-    if (onNews) {
-        onNews();
+    if (onChange) {
+        onChange();
     }
 }
 
@@ -63,23 +63,23 @@
     if (m_newerPeerState && m_newerPeerState->position <= Position{m_objects.epoch(), revision}) {
         m_newerPeerState.reset();
     }
-    if (hasChanges && onNews) {
-        onNews();
+    if (hasChanges && onChange) {
+        onChange();
     }
 }
 
 void SharedReplica::applyConfirmation(uint64_t revision, Clock::time_point at, Clock::time_point now)
 {
     m_objects.advanceTo(revision);
-    m_freshness.recordConfirmation(at);
+    m_querySchedule.recordConfirmation(at);
     if (m_confirmedRevisions.empty() || now - m_confirmedRevisions.back().at >= revisionSampleInterval) {
         m_confirmedRevisions.push_back({now, m_objects.revision()});
     }
-    while (m_confirmedRevisions.size() > 1 && now - m_confirmedRevisions[1].at >= m_freshness.options().watchRevisionMinAge) {
+    while (m_confirmedRevisions.size() > 1 && now - m_confirmedRevisions[1].at >= m_querySchedule.options().watchRevisionMinAge) {
         m_confirmedRevisions.pop_front();
     }
     if (onConfirmed) {
-        onConfirmed(m_freshness.confirmedAt());
+        onConfirmed(m_querySchedule.confirmedAt());
     }
 }
 
@@ -87,15 +87,15 @@
 {
     const auto currentRank = m_rank(now);
     if (currentRank && !m_wasShared) {
-        m_freshness.expectConfirmationsFrom(now);
+        m_querySchedule.expectConfirmationsFrom(now);
     }
     m_wasShared = currentRank.has_value();
-    return currentRank ? m_freshness.queryDueAt(*currentRank) : m_freshness.confirmedAt();
+    return currentRank ? m_querySchedule.queryDueAt(*currentRank) : m_querySchedule.confirmedAt();
 }
 
 uint64_t SharedReplica::watchFrom(Clock::time_point now) const
 {
-    const bool old = !m_confirmedRevisions.empty() && now - m_confirmedRevisions.front().at >= m_freshness.options().watchRevisionMinAge;
+    const bool old = !m_confirmedRevisions.empty() && now - m_confirmedRevisions.front().at >= m_querySchedule.options().watchRevisionMinAge;
     return old ? std::max(m_lastChange, m_confirmedRevisions.front().revision) : m_lastChange;
 }
 
@@ -109,7 +109,7 @@
         return;
     }
     if (confirmation.epoch == m_objects.epoch() && confirmation.digest == m_objects.digest()) {
-        if (confirmation.at > m_freshness.confirmedAt()) {
+        if (confirmation.at > m_querySchedule.confirmedAt()) {
             const bool wasDue = queryDueAt(now) <= now;
             applyConfirmation(confirmation.revision, confirmation.at, now);
             // Only a confirmation that is recent enough ends a wait. During an outage, confirmations still advance slightly while they
@@ -139,7 +139,7 @@
     if (!isConfirmed()) {
         return std::nullopt;
     }
-    return Confirmation{m_kind, m_objects.revision(), m_objects.digest(), m_freshness.confirmedAt(), m_objects.epoch()};
+    return Confirmation{m_kind, m_objects.revision(), m_objects.digest(), m_querySchedule.confirmedAt(), m_objects.epoch()};
 }
 
 Task<FetchOutcome> SharedReplica::fetch(TransferLimit limit, FetchSink sink)
@@ -168,8 +168,8 @@
         co_return FetchOutcome::Mismatch;
     }
     applyConfirmation(changes.revision, requested.at, Clock::now());
-    if (onNews) {
-        onNews();
+    if (onChange) {
+        onChange();
     }
     co_return FetchOutcome::Complete;
 }
--- a/src/shared_replica.h
+++ b/src/shared_replica.h
@@ -2,10 +2,10 @@
 // store's last confirmation, and the peer that announced a newer state.
 #pragma once
 
-#include "freshness.h"
 #include "http.h"
 #include "notifier.h"
 #include "object_replica.h"
+#include "query_schedule.h"
 
 #include <deque>
 #include <functional>
@@ -53,9 +53,9 @@
 {
 public:
     /// Returns the rank by name of this router among the routers it hears, 0 for the first; nothing if it hears none.
-    using Rank = std::function<std::optional<std::size_t>(Clock::time_point now)>;
+    using RankProvider = std::function<std::optional<std::size_t>(Clock::time_point now)>;
 
-    SharedReplica(std::string kind, Rank rank, ChangeSource &source, FreshnessOptions options = {});
+    SharedReplica(std::string kind, RankProvider rank, ChangeSource &source, QueryScheduleOptions options = {});
 
     const std::string &kind() const
     {
@@ -70,14 +70,14 @@
     void recordConfirmation(uint64_t revision, Clock::time_point at, bool hasChanges);
 
     /// Returns true while other routers are heard, so that their confirmations count.
-    bool shared(Clock::time_point now) const
+    bool hasActivePeers(Clock::time_point now) const
     {
         return m_rank(now).has_value();
     }
     /// Returns true once the store has confirmed the held state, to this router or to a peer.
     bool isConfirmed() const
     {
-        return m_freshness.confirmedAt() != Clock::time_point{};
+        return m_querySchedule.confirmedAt() != Clock::time_point{};
     }
     /// Returns the rank among the routers heard; 0 if none is heard.
     std::size_t rank(Clock::time_point now) const
@@ -87,15 +87,15 @@
     /// Returns when the follower must query the store.
     Clock::time_point queryDueAt(Clock::time_point now);
     /// Returns the watch timeout used while other routers are heard.
-    Millis watchWait() const
+    Millis watchTimeout() const
     {
-        return m_freshness.options().watchWait;
+        return m_querySchedule.options().watchTimeout;
     }
     /// Returns the revision to watch from: that of the last change, or a later confirmed one that has reached watchRevisionMinAge.
     uint64_t watchFrom(Clock::time_point now) const;
     Clock::time_point confirmedAt() const
     {
-        return m_freshness.confirmedAt();
+        return m_querySchedule.confirmedAt();
     }
 
     /// Processes a peer's confirmation. A peer that holds the same objects confirms the held state; a peer with a newer state
@@ -116,7 +116,7 @@
     /// Fetches the newer state from the peer that announced it. On any result but Complete, the store must be queried.
     Task<FetchOutcome> fetch(TransferLimit limit, FetchSink sink);
     /// Returns true if the held state is the one that could not be fetched from a peer.
-    bool hasUnfetchedState() const
+    bool holdsAnnouncedState() const
     {
         return m_objects.digest() == m_unfetchedDigest;
     }
@@ -133,7 +133,7 @@
     }
     /// onConfirmed is called with each confirmation, onNews after changes that peers must be informed of soon.
     std::function<void(Clock::time_point at)> onConfirmed;
-    std::function<void()> onNews;
+    std::function<void()> onChange;
 
 private:
     struct PeerState {
@@ -156,9 +156,9 @@
     bool replaceAll(const Changes &changes, const FetchSink &sink);
 
     std::string m_kind;
-    Rank m_rank;
+    RankProvider m_rank;
     ChangeSource &m_source;
-    Freshness m_freshness;
+    QuerySchedule m_querySchedule;
     ObjectReplica m_objects;
     std::optional<PeerState> m_newerPeerState;
     uint64_t m_unfetchedDigest = 0; ///< digest of the state that could not be fetched from a peer
--- a/src/sse.cpp
+++ b/src/sse.cpp
@@ -20,7 +20,7 @@
         const auto end = std::min(event.find('\n', lineStart), event.size());
         const auto line = event.substr(lineStart, end - lineStart);
         if (line.substr(0, idField.size()) == idField) {
-            return text::number<uint64_t>(line.substr(idField.size()));
+            return text::parseNumber<uint64_t>(line.substr(idField.size()));
         }
         lineStart = end + 1;
     }
--- a/src/sse.h
+++ b/src/sse.h
@@ -20,17 +20,17 @@
     /// in which they are relayed.
     std::vector<std::string> push(std::string_view bytes);
     /// Sets the id of the last event that the caller received from an earlier stream.
-    void startAfter(uint64_t lastId)
+    void setLastId(uint64_t lastId)
     {
         m_lastId = lastId;
     }
     /// True while an event is incomplete.
-    bool midEvent() const
+    bool hasPartialEvent() const
     {
         return !m_partial.empty();
     }
     /// Discards an incomplete event: its stream broke, and another one resumes after lastId().
-    void runEnded()
+    void discardPartialEvent()
     {
         m_partial.clear();
     }
@@ -40,12 +40,12 @@
         return m_lastId;
     }
     /// True once the terminal event ("data: [DONE]") was returned.
-    bool complete() const
+    bool isComplete() const
     {
         return m_complete;
     }
     /// True if an event was missing: nothing after it may be relayed.
-    bool gap() const
+    bool hasGap() const
     {
         return m_gap;
     }
--- a/src/store.h
+++ b/src/store.h
@@ -16,8 +16,8 @@
     MayLag, ///< the state of a replica: cheaper, but it may lag by seconds
 };
 
-/// Counts how often the store was restored from an older copy. Revisions are comparable only within one epoch, because a restored
-/// store assigns the revisions after the copy again. 0 if the store does not report epochs.
+/// Counts how often the store was restored from a backup. Revisions are comparable only within one epoch, because a restored
+/// store assigns the revisions after the backup again. 0 if the store does not report epochs.
 using Epoch = uint64_t;
 
 /// One stored object. Its version is the store revision of its last write.
--- a/src/text.h
+++ b/src/text.h
@@ -13,7 +13,7 @@
 {
 
 /// Parses the whole text as a decimal number. Returns nothing if it is not one.
-template <typename T = int64_t> std::optional<T> number(std::string_view text)
+template <typename T = int64_t> std::optional<T> parseNumber(std::string_view text)
 {
     T value = 0;
     const char *end = text.data() + text.size();
@@ -23,7 +23,7 @@
 
 /// Formats a number in hexadecimal. JSON fields hold such text because some JSON parsers lose precision in 64-bit
 /// numbers.
-inline std::string hex(uint64_t value)
+inline std::string toHex(uint64_t value)
 {
     char digits[16];
     const auto written = std::to_chars(digits, digits + sizeof digits, value, 16);
@@ -31,7 +31,7 @@
 }
 
 /// Parses the whole text as a hexadecimal number. Returns nothing if it is not one.
-inline std::optional<uint64_t> fromHex(std::string_view text)
+inline std::optional<uint64_t> parseHex(std::string_view text)
 {
     uint64_t value = 0;
     const char *end = text.data() + text.size();
@@ -40,7 +40,7 @@
 }
 
 /// Splits a comma-separated list and omits empty items.
-inline std::vector<std::string> items(std::string_view list)
+inline std::vector<std::string> splitList(std::string_view list)
 {
     std::vector<std::string> out;
     std::size_t at = 0;
--- a/tests/control_rig.h
+++ b/tests/control_fixture.h
@@ -1,21 +1,21 @@
 // Test fixture: a router's control side on an in-memory store.
 #pragma once
 
-#include "entry_rig.h"
+#include "entry_fixture.h"
 
 #include <set>
 
-namespace yucca::rig
+namespace yucca::fixture
 {
 
 /// The control side of a router on an in-memory store that lists one endpoint in each of two
 /// failure domains.
-struct ControlRig {
-    ControlRig()
+struct ControlFixture {
+    ControlFixture()
     {
-        auto north = entryAt("10.0.0.1:80");
+        auto north = endpointEntryAt("10.0.0.1:80");
         north["zone"] = "north";
-        auto south = entryAt("10.0.0.2:80");
+        auto south = endpointEntryAt("10.0.0.2:80");
         south["zone"] = "south";
         store.put(platform::ObjectCodec::endpointKind, "i-north", north, std::nullopt);
         store.put(platform::ObjectCodec::endpointKind, "i-south", south, std::nullopt);
@@ -29,7 +29,7 @@
     }
     /// Returns the endpoints that 50 different prompts are placed on; an empty id stands for
     /// prompts without a placement.
-    std::set<std::string> takers()
+    std::set<std::string> placementTargets()
     {
         std::set<std::string> out;
         for (uint64_t prompt = 0; prompt < 50; ++prompt) {
@@ -57,4 +57,4 @@
     }
 };
 
-} // namespace yucca::rig
+} // namespace yucca::fixture
--- a/tests/entry_rig.h
+++ b/tests/entry_fixture.h
@@ -5,7 +5,7 @@
 #include "codec.h"
 #include "dialect.h"
 #include "entry/gateway.h"
-#include "rig.h"
+#include "fixture.h"
 
 #include <boost/asio/detached.hpp>
 #include <boost/asio/write.hpp>
@@ -15,13 +15,13 @@
 #include <string>
 #include <vector>
 
-namespace yucca::rig
+namespace yucca::fixture
 {
 
 using tcp = asio::ip::tcp;
 
 /// A request as an endpoint received it.
-struct SeenRequest {
+struct ReceivedRequest {
     std::string head; ///< as received, including the final empty line
     std::string body;
     std::string connection; ///< number of the connection, starting with 1
@@ -40,12 +40,12 @@
 
 /// A TCP endpoint that passes each request to a script. The script writes arbitrary bytes and may
 /// close the connection.
-class RawEndpoint
+class ScriptedEndpoint
 {
 public:
-    using Script = std::function<Task<void>(tcp::socket &, const SeenRequest &)>;
+    using Script = std::function<Task<void>(tcp::socket &, const ReceivedRequest &)>;
 
-    RawEndpoint(Loop &loop, Script script)
+    ScriptedEndpoint(Loop &loop, Script script)
         : m_script(std::move(script))
         , m_acceptor(loop.io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0))
         , port(m_acceptor.local_endpoint().port())
@@ -61,7 +61,7 @@
         m_acceptor.close(ec);
     }
 
-    std::vector<SeenRequest> seen;
+    std::vector<ReceivedRequest> seen;
     int connections = 0;
 
 private:
@@ -90,7 +90,7 @@
                     co_return;
                 }
             }
-            SeenRequest request;
+            ReceivedRequest request;
             request.head = bytes.substr(0, end + 4);
             request.connection = connection;
             bytes.erase(0, end + 4);
@@ -192,7 +192,7 @@
 }
 
 /// Returns the value of an endpoint's entry in the store.
-inline nlohmann::json entryAt(const std::string &address)
+inline nlohmann::json endpointEntryAt(const std::string &address)
 {
     return {{"service", "m"},   {"address", address},     {"zone", "zone-a"}, {"version", "v1"},      {"slots", 64},
             {"state", "ready"}, {"cold_remaining_ms", 0}, {"sequence", 4},    {"born", 1796260000000}};
@@ -200,10 +200,10 @@
 
 /// An entry router with a server for callers, in front of the given endpoints (id to service and
 /// port).
-class EntryRig
+class EntryFixture
 {
 public:
-    explicit EntryRig(Loop &loop, std::map<std::string, std::pair<std::string, uint16_t>> endpoints, int64_t retrySlack = 1000)
+    explicit EntryFixture(Loop &loop, std::map<std::string, std::pair<std::string, uint16_t>> endpoints, int64_t retrySlack = 1000)
         : loop(loop)
         , settings{settingsWithSlack(retrySlack)}
         , gateway(entry::GatewayParts{published, table, admission, quarantine}, options(settings))
@@ -214,7 +214,7 @@
             listed.emplace(id, endpointAt(id, place.second, place.first, EndpointKind::Service));
         }
         published.replaceEndpoints(listed);
-        published.noteContact(Clock::now());
+        published.recordContact(Clock::now());
         port = std::get<uint16_t>(server.start());
     }
 
@@ -265,7 +265,7 @@
     entry::Published published{table};
     limits::Admission admission;
     quarantine::RequestQuarantine quarantine;
-    entry::Gateway<platform::CallerDialect> gateway;
+    entry::Gateway<platform::PlatformDialect> gateway;
     http::Server server{{&loop.io}, "127.0.0.1", 0, [this](http::Exchange &ex) {
                             return gateway.handle(ex);
                         }};
@@ -295,4 +295,4 @@
     }
 };
 
-} // namespace yucca::rig
+} // namespace yucca::fixture
--- a/tests/rig.h
+++ b/tests/fixture.h
@@ -15,14 +15,14 @@
 #include <stdexcept>
 #include <string>
 
-namespace yucca::rig
+namespace yucca::fixture
 {
 
-/// Fails the test if the condition is false. For rigs, whose headers come before CppUTest's.
+/// Fails the test if the condition is false. For fixtures, whose headers come before CppUTest's.
 inline void require(bool done)
 {
     if (!done) {
-        throw std::runtime_error("the test rig could not be set up");
+        throw std::runtime_error("the test fixture could not be set up");
     }
 }
 
@@ -81,7 +81,7 @@
         });
     }
     /// Runs the loop until the condition is true.
-    void until(const std::function<bool()> &done)
+    void runUntil(const std::function<bool()> &done)
     {
         io.restart();
         while (!done() && io.run_one() > 0) { }
@@ -112,15 +112,15 @@
 }
 
 /// The headers that an engine's answer carries for a request.
-inline http::Headers echo(const http::Exchange &ex)
+inline http::Headers requestIdHeaders(const http::Exchange &ex)
 {
     return {{"x-request-id", ex.header("x-request-id")}};
 }
 
 /// One router connected to the in-process object API and a set of endpoints. Workspace "ws" uses engines (pool "p");
 /// workspace "sched" uses a plain service (pool "s").
-struct RouterRig {
-    RouterRig(Loop &l, const std::vector<Endpoint> &endpoints, settings::RouterSettings given = {})
+struct RouterFixture {
+    RouterFixture(Loop &l, const std::vector<Endpoint> &endpoints, settings::RouterSettings given = {})
         : loop(l)
         , s(std::move(given))
     {
@@ -184,4 +184,4 @@
 inline const char *chatBody = R"({"messages":[{"role":"user","content":"hello"}]})";
 inline const char *streamBody = R"({"stream":true,"messages":[{"role":"user","content":"hello"}]})";
 
-} // namespace yucca::rig
+} // namespace yucca::fixture
--- a/tests/follower_rig.h
+++ b/tests/follower_fixture.h
@@ -1,16 +1,16 @@
-// Test rig: a follower with a neighbour that follows the same store.
+// Test fixture: a follower with a neighbour that follows the same store.
 #pragma once
 
 #include "change_exchange.h"
+#include "fixture.h"
 #include "follower.h"
 #include "local_object_api.h"
 #include "recording_sink.h"
-#include "rig.h"
 
 #include <memory>
 #include <optional>
 
-namespace yucca::rig
+namespace yucca::fixture
 {
 
 /// Serves the changes of another replica, or fails if peer is null.
@@ -61,11 +61,11 @@
 inline const http::Address neighbour{"10.0.0.2", 7000};
 
 /// A follower whose router has rank 5 among its neighbours, and one neighbour that follows the same store.
-struct FollowerRig {
-    FollowerRig()
+struct FollowerFixture {
+    FollowerFixture()
     {
         source.peer = &other;
-        options.shared = &own;
+        options.sharedReplica = &own;
         follower = std::make_unique<Follower<RecordingSink>>(api, "k", sink, options);
     }
     // Runs one step of the neighbour's follower, and a second one if the store has not confirmed its state yet.
@@ -73,7 +73,7 @@
     {
         if (!neighbourFollower) {
             FollowerOptions neighbourOptions;
-            neighbourOptions.shared = &other;
+            neighbourOptions.sharedReplica = &other;
             neighbourFollower = std::make_unique<Follower<RecordingSink>>(neighbourApi, "k", neighbourSink, neighbourOptions);
         }
         require(loop.run(neighbourFollower->step()));
@@ -114,4 +114,4 @@
     std::unique_ptr<Follower<RecordingSink>> neighbourFollower;
 };
 
-} // namespace yucca::rig
+} // namespace yucca::fixture
--- a/tests/fuzz/fuzz_decoders.cpp
+++ b/tests/fuzz/fuzz_decoders.cpp
@@ -4,8 +4,8 @@
 #include "dialect.h"
 #include "entry/entry_settings.h"
 #include "explain.h"
-#include "load_digest.h"
 #include "model/scenario.h"
+#include "peer_message.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -38,11 +38,11 @@
     const Clock::time_point now{std::chrono::hours(1)};
     const auto message = peers::decode({data, size}, now);
     if (ok(message)) {
-        for (const auto &report : std::get<peers::Digest>(message).loads) {
-            require(report.load >= 0 && report.heardAt <= now);
+        for (const auto &report : std::get<peers::PeerMessage>(message).loads) {
+            require(report.load >= 0 && report.receivedAt <= now);
         }
     }
-    explain::Reader timeline("q1");
+    explain::TimelineBuilder timeline("q1");
     std::istringstream log(bytes);
     timeline.read(log, "fuzz");
     require(!timeline.finish().cause.empty() || size > 0);
--- a/tests/fuzz/fuzz_events.cpp
+++ b/tests/fuzz/fuzz_events.cpp
@@ -50,9 +50,9 @@
         lastId = relay.lastId();
     }
     require(actual == expected);
-    require(relay.complete() == reference.complete());
+    require(relay.isComplete() == reference.isComplete());
     // A resumed run that repeats the whole input yields only whole events, and the last id does not decrease.
-    relay.runEnded();
+    relay.discardPartialEvent();
     const uint64_t idBefore = relay.lastId();
     for (const auto &event : relay.push(bytes)) {
         require(event.find("\n\n") == event.size() - 2);
--- a/tests/loop_group.h
+++ b/tests/loop_group.h
@@ -2,7 +2,7 @@
 // new.
 #pragma once
 
-#include "rig.h"
+#include "fixture.h"
 
 #include <CppUTest/TestHarness.h>
 // MemoryLeakWarningPlugin.h requires TestHarness.h first; the blank line prevents reordering.
--- a/tests/recording_sink.h
+++ b/tests/recording_sink.h
@@ -6,49 +6,49 @@
 #include <string>
 #include <vector>
 
-namespace yucca::rig
+namespace yucca::fixture
 {
 
 /// Records the updates of a follower.
 struct RecordingSink {
-    std::vector<std::string> news;
-    void listed(const platform::Listing &listing, platform::Freshness)
+    std::vector<std::string> updates;
+    void onListing(const platform::Listing &listing, platform::Freshness)
     {
-        news.push_back("listed " + std::to_string(listing.items.size()));
+        updates.push_back("listed " + std::to_string(listing.items.size()));
     }
-    void listedSoFar(const platform::Listing &listing)
+    void onPartialListing(const platform::Listing &listing)
     {
-        news.push_back("so far " + std::to_string(listing.items.size()));
+        updates.push_back("so far " + std::to_string(listing.items.size()));
     }
-    void changed(const platform::Object &object, bool deleted)
+    void onChange(const platform::Object &object, bool deleted)
     {
-        news.push_back((deleted ? "gone " : "set ") + object.name);
+        updates.push_back((deleted ? "gone " : "set ") + object.name);
     }
-    void batchEnded()
+    void onBatchEnd()
     {
     }
-    void regained(Clock::duration)
+    void onStoreRecovered(Clock::duration)
     {
-        news.push_back("regained");
+        updates.push_back("regained");
     }
-    void restored()
+    void onStoreRestored()
     {
-        news.push_back("restored");
+        updates.push_back("restored");
     }
 };
 
 /// Returns true after the given time.
-inline Task<bool> passed(Millis time)
+inline Task<bool> trueAfterDelay(Millis time)
 {
     co_await sleepFor(time);
     co_return true;
 }
 
 /// Runs a follower and returns true once it has been stopped.
-inline Task<bool> ranToItsEnd(Follower<RecordingSink> &follower)
+inline Task<bool> runUntilStopped(Follower<RecordingSink> &follower)
 {
     co_await follower.run();
     co_return true;
 }
 
-} // namespace yucca::rig
+} // namespace yucca::fixture
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -1,6 +1,6 @@
-// Tests of the traffic limits, the supervisor and the decisions of the duties, with the time passed in.
+// Tests of the traffic limits, the supervisor and the decisions of the background tasks, with the time passed in.
 #include "admission.h"
-#include "duties.h"
+#include "background_tasks.h"
 #include "supervisor.h"
 
 #include <CppUTest/TestHarness.h>
@@ -19,7 +19,7 @@
     limits::Limits limits{2, 4};
     Clock::duration retryAfter{};
 
-    limits::Verdict admit()
+    limits::AdmissionResult admit()
     {
         return admission.admit("ws", limits, now, retryAfter);
     }
@@ -27,34 +27,34 @@
 
 TEST(Limits, RequestAboveInflightLimitIsRejectedUntilOneFinishes)
 {
-    CHECK(admit() == limits::Verdict::Admitted);
-    CHECK(admit() == limits::Verdict::Admitted);
-    CHECK(admit() == limits::Verdict::AtCapacity);
-    admission.finished("ws");
-    CHECK(admit() == limits::Verdict::Admitted);
+    CHECK(admit() == limits::AdmissionResult::Admitted);
+    CHECK(admit() == limits::AdmissionResult::Admitted);
+    CHECK(admit() == limits::AdmissionResult::AtCapacity);
+    admission.release("ws");
+    CHECK(admit() == limits::AdmissionResult::Admitted);
 }
 
 TEST(Limits, RequestAboveRateIsRejectedWithTimeUntilNextToken)
 {
     for (int i = 0; i < 4; ++i) {
-        CHECK(admit() == limits::Verdict::Admitted);
-        admission.finished("ws");
+        CHECK(admit() == limits::AdmissionResult::Admitted);
+        admission.release("ws");
     }
-    CHECK(admit() == limits::Verdict::RateLimited);
+    CHECK(admit() == limits::AdmissionResult::RateLimited);
     LONGS_EQUAL(250, std::chrono::duration_cast<Millis>(retryAfter).count());
     now += Millis(250);
-    CHECK(admit() == limits::Verdict::Admitted);
+    CHECK(admit() == limits::AdmissionResult::Admitted);
 }
 
 TEST(Limits, ChangedRateAppliesToNextRequest)
 {
     limits.requestsPerS = 1;
-    CHECK(admit() == limits::Verdict::Admitted);
-    admission.finished("ws");
-    CHECK(admit() == limits::Verdict::RateLimited);
+    CHECK(admit() == limits::AdmissionResult::Admitted);
+    admission.release("ws");
+    CHECK(admit() == limits::AdmissionResult::RateLimited);
     limits.requestsPerS = 1000;
     now += Millis(1);
-    CHECK(admit() == limits::Verdict::Admitted);
+    CHECK(admit() == limits::AdmissionResult::Admitted);
 }
 
 TEST(Limits, RetriesAreLimitedToShareOfRequestsPlusReserve)
@@ -63,8 +63,8 @@
     const Clock::time_point now{std::chrono::hours(1)};
     int retries = 0;
     for (int i = 0; i < 100; ++i) {
-        budget.earn(now);
-        retries += budget.spend(now) ? 1 : 0;
+        budget.recordRequest(now);
+        retries += budget.tryRetry(now) ? 1 : 0;
     }
     CHECK(retries >= 20 && retries <= 22); // one fifth plus the reserve
 }
@@ -74,20 +74,20 @@
     limits::RetryBudget budget({0.2, 2, Millis(10000)});
     Clock::time_point now{std::chrono::hours(1)};
     for (int i = 0; i < 90; ++i) { // 10 requests per second for 9 seconds
-        budget.earn(now);
+        budget.recordRequest(now);
         now += Millis(100);
     }
     int atOnce = 0;
-    while (budget.spend(now)) {
+    while (budget.tryRetry(now)) {
         ++atOnce;
     }
     LONGS_EQUAL(20, atOnce); // 0.2 x 90 + 2
     now += Millis(9000);
-    CHECK(!budget.spend(now)); // the earlier retries still count, and there were no requests since
+    CHECK(!budget.tryRetry(now)); // the earlier retries still count, and there were no requests since
     now += Millis(2000);
-    CHECK(budget.spend(now));
-    CHECK(budget.spend(now));
-    CHECK(!budget.spend(now));
+    CHECK(budget.tryRetry(now));
+    CHECK(budget.tryRetry(now));
+    CHECK(!budget.tryRetry(now));
 }
 
 TEST(Limits, RetriesInAnyWindowStayWithinShareOfAnOverlappingWindow)
@@ -101,10 +101,10 @@
         const auto now = start + Millis(100) * static_cast<int64_t>(i);
         const bool surge = i / 70 % 3 == 1;
         for (unsigned k = 0; k < (surge ? 9 : 2) * (random() % 3); ++k) {
-            budget.earn(now);
+            budget.recordRequest(now);
             ++requestsAt[i];
             const bool failing = i / 40 % 2 == 0;
-            while (failing && random() % 2 == 0 && budget.spend(now)) {
+            while (failing && random() % 2 == 0 && budget.tryRetry(now)) {
                 ++retriesAt[i];
             }
         }
@@ -122,11 +122,11 @@
 {
     limits::RetryBudget budget({0.2, 2, Millis(10000)});
     const Clock::time_point now{std::chrono::hours(1)};
-    CHECK(budget.spend(now));
-    CHECK(budget.spend(now));
+    CHECK(budget.tryRetry(now));
+    CHECK(budget.tryRetry(now));
     budget.setLimits({0.2, 3, Millis(10000)});
-    CHECK(budget.spend(now));
-    CHECK(!budget.spend(now));
+    CHECK(budget.tryRetry(now));
+    CHECK(!budget.tryRetry(now));
 }
 
 TEST_GROUP(Supervision){};
@@ -173,18 +173,18 @@
     STRCMP_EQUAL("cba", order.c_str());
 }
 
-TEST_GROUP(Duties){};
+TEST_GROUP(BackgroundTasks){};
 
-TEST(Duties, CompletedRecordExpiresAfterRetentionAndStartedRecordNever)
+TEST(BackgroundTasks, CompletedRecordExpiresAfterRetentionAndStartedRecordNever)
 {
     nlohmann::json done{{"state", "done"}, {"at", 1000}};
-    CHECK_FALSE(duties::expired(done, 1100, 100));
-    CHECK(duties::expired(done, 1101, 100));
+    CHECK_FALSE(background::isExpired(done, 1100, 100));
+    CHECK(background::isExpired(done, 1101, 100));
     nlohmann::json started{{"state", "started"}, {"at", 1000}};
-    CHECK_FALSE(duties::expired(started, 99999, 100)); // its outcome is unknown, so the record must keep guarding the key
+    CHECK_FALSE(background::isExpired(started, 99999, 100)); // its outcome is unknown, so the record must keep guarding the key
 }
 
-TEST(Duties, LiveEngineIsOrderedToLoadModelOfItsClass)
+TEST(BackgroundTasks, LiveEngineIsOrderedToLoadModelOfItsClass)
 {
     catalogue::Snapshot s;
     catalogue::WorkClass c;
@@ -199,7 +199,7 @@
     e.id = "e2";
     e.state = EndpointState::Leaving;
     s.endpoints["e2"] = e;
-    const auto wanted = duties::wantedOrders(s);
+    const auto wanted = background::desiredOrders(s);
     LONGS_EQUAL(1, wanted.size());
     STRCMP_EQUAL("e1", wanted[0].engine.c_str());
     STRCMP_EQUAL("counsel-v2", wanted[0].argument.c_str());
--- a/tests/test_constraints.cpp
+++ b/tests/test_constraints.cpp
@@ -2,7 +2,7 @@
 // requests to cold endpoints over all routers.
 #include "codec.h"
 #include "cold_limit.h"
-#include "entry_rig.h"
+#include "entry_fixture.h"
 
 // CppUTest goes last: its memory leak macros redefine operator new.
 #include "loop_group.h"
@@ -11,7 +11,7 @@
 #include <random>
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 using limits::ColdAllowance;
 using limits::ColdLimiter;
 
@@ -162,7 +162,7 @@
         return e;
     }
     // The endpoints that receive requests for many prompts; includes "" if some request finds no endpoint.
-    std::set<std::string> receivingEndpoints(const router::Constraints &constraints = {}, int requests = 200)
+    std::set<std::string> receivingEndpoints(const router::PlacementConstraints &constraints = {}, int requests = 200)
     {
         std::set<std::string> out;
         for (int prompt = 0; prompt < requests; ++prompt) {
@@ -180,25 +180,25 @@
 {
     table.setEndpoints({at("a", "north"), at("b", "south"), at("c", "south")});
     for (uint64_t prompt = 0; prompt < 50; ++prompt) {
-        table.tookPrompt(prompt, at("a", "north"), now);
+        table.recordPromptHolder(prompt, at("a", "north"), now);
     }
     table.setEvacuated({"north"}, now);
     CHECK((receivingEndpoints() == std::set<std::string>{"b", "c"}));
     table.setEndpoints({at("a", "north"), at("b", "south"), at("c", "south"), at("d", "north")});
     CHECK((receivingEndpoints() == std::set<std::string>{"b", "c"})); // endpoints that join later get nothing either
     for (uint64_t prompt = 0; prompt < 50; ++prompt) {
-        const auto belief = table.beliefOf(prompt, at("b", "south"), now);
-        CHECK(!belief.source || belief.source->zone == "south"); // no prompt is fetched from the domain
+        const auto promptEstimate = table.estimatePrompt(prompt, at("b", "south"), now);
+        CHECK(!promptEstimate.source || promptEstimate.source->zone == "south"); // no prompt is fetched from the domain
     }
-    CHECK(!table.acquireAgain(at("a", "north"), now)); // no request is sent again either
+    CHECK(!table.acquireForResend(at("a", "north"), now)); // no request is sent again either
 }
 
-TEST(Constraints, EvacuationOfAllDomainsIsReportedAsObstacle)
+TEST(Constraints, EvacuationOfAllDomainsIsReportedAsReason)
 {
     table.setEndpoints({at("a", "north"), at("b", "south")});
     table.setEvacuated({"north", "south", "nowhere"}, now);
     CHECK((receivingEndpoints() == std::set<std::string>{""}));
-    CHECK(table.obstacle("m", {}, now) == router::Obstacle::Evacuated);
+    CHECK(table.noEndpointReason("m", {}, now) == router::NoEndpointReason::Evacuated);
     table.setEvacuated({"north"}, now);
     CHECK((receivingEndpoints() == std::set<std::string>{"b"}));
 }
@@ -212,7 +212,7 @@
     LONGS_EQUAL(0, table.coldCount(now));
     table.setEvacuated({}, now);
     LONGS_EQUAL(1, table.coldCount(now));
-    LONGS_EQUAL(0, table.coldCount(now + allowance.coldFor));
+    LONGS_EQUAL(0, table.coldCount(now + allowance.coldDuration));
 }
 
 TEST(Constraints, ColdEndpointGetsItsShareAndWarmEndpointTheRest)
@@ -220,7 +220,7 @@
     table.setColdAllowances({{"m", allowance}});
     table.setRouters("r", {});
     table.setEndpoints({at("a", "north"), at("b", "south")});
-    table.noteCold("a", now + Millis(2000));
+    table.recordCold("a", now + Millis(2000));
     std::map<std::string, int> taken;
     for (uint64_t prompt = 0; prompt < 200; ++prompt) {
         const auto e = table.acquire("m", {prompt, prompt}, {}, now);
@@ -238,10 +238,10 @@
 TEST(Constraints, ColdEndpointsWithoutAllowanceAreNotLimited)
 {
     table.setEndpoints({at("a", "north"), at("b", "south")});
-    table.noteCold("a", now + Millis(2000));
-    table.noteCold("b", now + Millis(2000));
+    table.recordCold("a", now + Millis(2000));
+    table.recordCold("b", now + Millis(2000));
     CHECK((receivingEndpoints() == std::set<std::string>{"a", "b"}));
-    CHECK(table.acquireAgain(at("a", "north"), now));
+    CHECK(table.acquireForResend(at("a", "north"), now));
     LONGS_EQUAL(0, table.coldCount(now));
 }
 
@@ -250,12 +250,12 @@
     table.setColdAllowances({{"m", allowance}});
     table.setRouters("r", {});
     table.setEndpoints({at("a", "north"), at("b", "south")});
-    table.noteCold("a", now + Millis(2000));
-    table.noteCold("b", now + Millis(2000));
-    router::Constraints lessUrgent;
+    table.recordCold("a", now + Millis(2000));
+    table.recordCold("b", now + Millis(2000));
+    router::PlacementConstraints lessUrgent;
     lessUrgent.priority = 2;
     CHECK(receivingEndpoints(lessUrgent).count(""));
-    CHECK(table.obstacle("m", {}, now) == router::Obstacle::Cold);
+    CHECK(table.noEndpointReason("m", {}, now) == router::NoEndpointReason::Cold);
     CHECK((!receivingEndpoints({}, 1).count(""))); // an urgent request is still accepted
     CHECK(receivingEndpoints().count(""));
 }
@@ -278,7 +278,7 @@
     table.setEndpoints({at("a", "north"), at("b", "south"), at("c", "south")}, now);
     LONGS_EQUAL(0, table.coldCount(now)); // "a" is still the same incarnation
     auto again = at("b", "south");
-    again.born = 7;
+    again.startedAtMs = 7;
     table.setEndpoints({at("a", "north"), again, at("c", "south")}, now);
     LONGS_EQUAL(1, table.coldCount(now));
 }
@@ -287,18 +287,18 @@
 {
     table.setEndpoints({at("a", "north", "one"), at("b", "south", "two"), at("c", "west", "")});
     CHECK((receivingEndpoints() == std::set<std::string>{"a", "b", "c"}));
-    router::Constraints constraints;
+    router::PlacementConstraints constraints;
     constraints.regions.restrictTo({"one", "two"});
     CHECK((receivingEndpoints(constraints) == std::set<std::string>{"a", "b"}));
     for (uint64_t prompt = 0; prompt < 50; ++prompt) {
-        table.tookPrompt(prompt, at("a", "north", "one"), now);
+        table.recordPromptHolder(prompt, at("a", "north", "one"), now);
     }
     constraints.regions.restrictTo({"two", "three"});
     CHECK((receivingEndpoints(constraints) == std::set<std::string>{"b"}));
-    CHECK(!table.beliefOf(1, at("b", "south", "two"), now, constraints).source); // nothing is fetched from other regions either
+    CHECK(!table.estimatePrompt(1, at("b", "south", "two"), now, constraints).source); // nothing is fetched from other regions either
     constraints.regions.restrictTo({"three"});
     CHECK((receivingEndpoints(constraints) == std::set<std::string>{""}));
-    CHECK(table.obstacle("m", {}, now, constraints) == router::Obstacle::Region);
+    CHECK(table.noEndpointReason("m", {}, now, constraints) == router::NoEndpointReason::Region);
 }
 
 TEST_GROUP(ConstraintConfiguration){};
@@ -313,9 +313,9 @@
     Findings findings;
     const auto configuration = platform::ObjectCodec::configuration(written, findings);
     STRCMP_EQUAL("", findings.report().c_str());
-    CHECK(configuration->services.at("m").coldFor == Millis(3000));
+    CHECK(configuration->services.at("m").coldDuration == Millis(3000));
     DOUBLES_EQUAL(8.9, configuration->services.at("m").coldPerSecond, 1e-9);
-    CHECK(configuration->services.at("s").coldFor == Millis(0));
+    CHECK(configuration->services.at("s").coldDuration == Millis(0));
     CHECK((configuration->routes[2].regions == std::vector<std::string>{"one"}));
     CHECK((configuration->workspaces[0].regions == std::vector<std::string>{"one", "two"}));
     written["routes"][2]["allowed_regions"] = {7};
--- a/tests/test_crashing_requests.cpp
+++ b/tests/test_crashing_requests.cpp
@@ -3,12 +3,12 @@
 // under a new id at another router, which knows nothing of it and sends it to the next endpoint.
 // This happens when crashes are counted by endpoint and request id only, because both change with
 // each repeat.
-#include "entry_rig.h"
+#include "entry_fixture.h"
 
 #include "loop_group.h"
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 
 namespace
 {
@@ -29,7 +29,7 @@
         : m_streams(service == "m")
     {
         for (std::size_t n = 0; n < size; ++n) {
-            m_endpoints.push_back(std::make_unique<RawEndpoint>(loop, [this, n](tcp::socket &socket, const SeenRequest &request) {
+            m_endpoints.push_back(std::make_unique<ScriptedEndpoint>(loop, [this, n](tcp::socket &socket, const ReceivedRequest &request) {
                 return answer(n, socket, request);
             }));
             places["e" + std::to_string(n)] = {service, m_endpoints.back()->port};
@@ -51,7 +51,7 @@
     std::map<std::string, std::pair<std::string, uint16_t>> places; ///< service and port, by endpoint id
 
 private:
-    Task<void> answer(std::size_t n, tcp::socket &socket, const SeenRequest &request)
+    Task<void> answer(std::size_t n, tcp::socket &socket, const ReceivedRequest &request)
     {
         const std::string id = request.header("Yuccasaddle-Attempt-Id");
         if (request.body == m_crashingBody) {
@@ -71,7 +71,7 @@
     }
 
     // Sends a stream, which breaks if its endpoint crashes. A slow one takes about 100 ms.
-    Task<void> stream(std::size_t n, tcp::socket &socket, const SeenRequest &request)
+    Task<void> stream(std::size_t n, tcp::socket &socket, const ReceivedRequest &request)
     {
         constexpr int lastEvent = 10;
         const std::string resume = request.header("Last-Event-Id");
@@ -93,7 +93,7 @@
     bool m_streams;
     std::string m_crashingBody = crashingBody;
     std::set<std::size_t> m_crashed;
-    std::vector<std::unique_ptr<RawEndpoint>> m_endpoints;
+    std::vector<std::unique_ptr<ScriptedEndpoint>> m_endpoints;
 };
 
 Task<bool> afterDelay(Millis time)
@@ -109,9 +109,9 @@
 TEST(CrashingRequest, NonRepeatableRequestThatCrashesEndpointsIsQuarantined)
 {
     CrashingPool pool(loop(), 12, "m");
-    EntryRig rig(loop(), pool.places);
+    EntryFixture fixture(loop(), pool.places);
     for (std::size_t n = 0; n < pool.places.size(); ++n) {
-        rig.call("POST", "/once/1", "a" + std::to_string(n), {}, crashingBody);
+        fixture.call("POST", "/once/1", "a" + std::to_string(n), {}, crashingBody);
         loop().run(afterDelay(Millis(50))); // the caller repeats the request after a pause
     }
     CHECK_TEXT(pool.received <= maxCrashes + maxRepeats, StringFromFormat("%d reached endpoints", int(pool.received)).asCharString());
@@ -120,9 +120,9 @@
 TEST(CrashingRequest, RepeatableRequestThatCrashesEndpointsIsQuarantined)
 {
     CrashingPool pool(loop(), 12, "m");
-    EntryRig rig(loop(), pool.places);
+    EntryFixture fixture(loop(), pool.places);
     for (std::size_t n = 0; n < pool.places.size(); ++n) {
-        rig.call("POST", "/chat/1", "a" + std::to_string(n), {}, crashingBody);
+        fixture.call("POST", "/chat/1", "a" + std::to_string(n), {}, crashingBody);
         loop().run(afterDelay(Millis(50)));
     }
     CHECK_TEXT(pool.received <= maxCrashes + maxRepeats, StringFromFormat("%d reached endpoints", int(pool.received)).asCharString());
@@ -138,10 +138,10 @@
     PeerRouters(Loop &loop, std::size_t size, const CrashingPool &pool)
     {
         for (std::size_t n = 0; n < size; ++n) {
-            m_routers.push_back(std::make_unique<EntryRig>(loop, pool.places));
+            m_routers.push_back(std::make_unique<EntryFixture>(loop, pool.places));
         }
     }
-    EntryRig &operator[](std::size_t n)
+    EntryFixture &operator[](std::size_t n)
     {
         return *m_routers[n % m_routers.size()];
     }
@@ -149,23 +149,23 @@
     {
         const auto now = Clock::now();
         for (auto &from : m_routers) {
-            const auto news = from->quarantine.takeNews(100);
+            const auto updates = from->quarantine.takeUpdates(100);
             for (auto &to : m_routers) {
-                for (const auto &record : news.records) {
-                    to->quarantine.told(record, now);
+                for (const auto &record : updates.records) {
+                    to->quarantine.merge(record, now);
                 }
-                for (const auto &suspicion : news.suspicions) {
-                    to->quarantine.told(suspicion, now);
+                for (const auto &suspicion : updates.suspicions) {
+                    to->quarantine.merge(suspicion, now);
                 }
-                for (const auto &answer : news.answers) {
-                    to->quarantine.told(answer);
+                for (const auto &answer : updates.answers) {
+                    to->quarantine.merge(answer);
                 }
             }
         }
     }
 
 private:
-    std::vector<std::unique_ptr<EntryRig>> m_routers;
+    std::vector<std::unique_ptr<EntryFixture>> m_routers;
 };
 
 } // namespace
@@ -176,12 +176,12 @@
 TEST(CrashingRequest, CrashesOnKeepAliveConnectionsQuarantineAfterThreeEndpoints)
 {
     CrashingPool pool(loop(), 12, "s");
-    EntryRig rig(loop(), pool.places);
+    EntryFixture fixture(loop(), pool.places);
     for (std::size_t n = 0; n < 40; ++n) {
-        rig.reply("POST", "/remind/warm" + std::to_string(n), "w" + std::to_string(n), {}, "{}");
+        fixture.reply("POST", "/remind/warm" + std::to_string(n), "w" + std::to_string(n), {}, "{}");
     }
     for (std::size_t n = 0; n < 12; ++n) {
-        rig.call("POST", "/remind/1", "a" + std::to_string(n), {}, crashingBody);
+        fixture.call("POST", "/remind/1", "a" + std::to_string(n), {}, crashingBody);
         loop().run(afterDelay(Millis(20)));
     }
     LONGS_EQUAL(maxCrashes, pool.crashed);
@@ -202,7 +202,7 @@
             loop().run(afterDelay(Millis(20)));
             routers.exchangeNews();
         }
-        CHECK_TEXT(pools.back()->crashed == maxCrashes, (path + ": " + std::to_string(pools.back()->crashed) + " ended").c_str());
+        CHECK_TEXT(pools.back()->crashed == maxCrashes, (path + ": " + std::to_string(pools.back()->crashed) + " crashed").c_str());
         LONGS_EQUAL(503, last.status);
         STRCMP_EQUAL("quarantined", last.body.c_str());
         CHECK(std::stod(last.header("Retry-After")) > 3000); // seconds until the quarantine ends
@@ -212,17 +212,17 @@
 TEST(CrashingRequest, OtherContentOfTheSameWorkspaceIsServed)
 {
     CrashingPool pool(loop(), 8, "m");
-    EntryRig rig(loop(), pool.places);
+    EntryFixture fixture(loop(), pool.places);
     for (int n = 0; n < 5; ++n) {
-        rig.call("POST", "/once/1", "a" + std::to_string(n), {}, crashingBody);
+        fixture.call("POST", "/once/1", "a" + std::to_string(n), {}, crashingBody);
         loop().run(afterDelay(Millis(20)));
     }
-    LONGS_EQUAL(503, rig.reply("POST", "/once/1", "b1", {}, crashingBody).status);
+    LONGS_EQUAL(503, fixture.reply("POST", "/once/1", "b1", {}, crashingBody).status);
     const auto before = pool.received;
-    rig.call("POST", "/once/2", "b2", {}, crashingBody); // another path is another request, which may crash endpoints as well
+    fixture.call("POST", "/once/2", "b2", {}, crashingBody); // another path is another request, which may crash endpoints as well
     LONGS_EQUAL(before + 1, pool.received);
-    LONGS_EQUAL(200, rig.reply("POST", "/once/1", "b3", {}, "{}").status);
-    LONGS_EQUAL(200, rig.reply("POST", "/chat/1", "b4", {}, "{}").status);
+    LONGS_EQUAL(200, fixture.reply("POST", "/once/1", "b3", {}, "{}").status);
+    LONGS_EQUAL(200, fixture.reply("POST", "/chat/1", "b4", {}, "{}").status);
 }
 
 // A repeat may have other headers and another spelling of the host; workspace and content are the
@@ -230,52 +230,52 @@
 TEST(CrashingRequest, RepeatWithOtherHeadersIsRecognizedByItsContent)
 {
     CrashingPool pool(loop(), 8, "m");
-    EntryRig rig(loop(), pool.places);
+    EntryFixture fixture(loop(), pool.places);
     for (int n = 0; n < 3; ++n) {
         const std::string id = "a" + std::to_string(n);
-        rig.call("POST", "/once/1", id, {{"Yuccasaddle-Deadline-Ms", std::to_string(3000 + n)}, {"X-Trace", id}}, crashingBody);
+        fixture.call("POST", "/once/1", id, {{"Yuccasaddle-Deadline-Ms", std::to_string(3000 + n)}, {"X-Trace", id}}, crashingBody);
         loop().run(afterDelay(Millis(20)));
     }
-    auto headers = EntryRig::caller("b1");
+    auto headers = EntryFixture::caller("b1");
     headers[0].second = "H.example:80";
-    const auto reply = loop().run(rig.send("POST", "/once/1", headers, crashingBody));
+    const auto reply = loop().run(fixture.send("POST", "/once/1", headers, crashingBody));
     LONGS_EQUAL(503, std::get<http::Reply>(reply).status);
     headers[2].second = "key-s"; // another workspace, whose requests have crashed nothing
-    loop().run(rig.send("POST", "/once/1", headers, crashingBody));
+    loop().run(fixture.send("POST", "/once/1", headers, crashingBody));
     LONGS_EQUAL(4, pool.received);
 }
 
 TEST(CrashingRequest, BrokenConnectionToALiveEndpointDoesNotQuarantine)
 {
-    std::vector<std::unique_ptr<RawEndpoint>> endpoints;
+    std::vector<std::unique_ptr<ScriptedEndpoint>> endpoints;
     std::map<std::string, std::pair<std::string, uint16_t>> places;
     std::size_t received = 0;
     for (int n = 0; n < 4; ++n) {
-        endpoints.push_back(std::make_unique<RawEndpoint>(loop(), [&](tcp::socket &socket, const SeenRequest &) -> Task<void> {
+        endpoints.push_back(std::make_unique<ScriptedEndpoint>(loop(), [&](tcp::socket &socket, const ReceivedRequest &) -> Task<void> {
             ++received;
             resetConnection(socket);
             co_return;
         }));
         places["e" + std::to_string(n)] = {"s", endpoints.back()->port};
     }
-    EntryRig rig(loop(), places);
+    EntryFixture fixture(loop(), places);
     for (int n = 0; n < 8; ++n) {
-        LONGS_EQUAL(502, rig.reply("POST", "/book/1", "a" + std::to_string(n)).status);
+        LONGS_EQUAL(502, fixture.reply("POST", "/book/1", "a" + std::to_string(n)).status);
         loop().run(afterDelay(Millis(200))); // enough time to detect that the endpoint is alive
     }
     LONGS_EQUAL(8, received);
-    LONGS_EQUAL(0, rig.quarantine.heldCount(Clock::now()));
+    LONGS_EQUAL(0, fixture.quarantine.quarantinedCount(Clock::now()));
 }
 
 // The cost for a harmless request: after three broken responses in a row, it waits until the router
 // knows whether the endpoints are alive.
 TEST(CrashingRequest, ThreeBrokenResponsesInARowDelayTheRequestUntilTheCauseIsKnown)
 {
-    std::vector<std::unique_ptr<RawEndpoint>> endpoints;
+    std::vector<std::unique_ptr<ScriptedEndpoint>> endpoints;
     std::map<std::string, std::pair<std::string, uint16_t>> places;
     bool breaks = true;
     for (int n = 0; n < 4; ++n) {
-        endpoints.push_back(std::make_unique<RawEndpoint>(loop(), [&](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
+        endpoints.push_back(std::make_unique<ScriptedEndpoint>(loop(), [&](tcp::socket &socket, const ReceivedRequest &request) -> Task<void> {
             if (breaks) {
                 resetConnection(socket);
                 co_return;
@@ -284,41 +284,41 @@
         }));
         places["e" + std::to_string(n)] = {"s", endpoints.back()->port};
     }
-    EntryRig rig(loop(), places);
+    EntryFixture fixture(loop(), places);
     http::Reply last;
     for (int n = 0; n < 20 && last.status != 503; ++n) {
-        last = rig.reply("POST", "/remind/1", "a" + std::to_string(n));
+        last = fixture.reply("POST", "/remind/1", "a" + std::to_string(n));
     }
     LONGS_EQUAL(503, last.status);
     CHECK(std::stod(last.header("Retry-After")) <= 0.5); // seconds
     breaks = false;
     loop().run(afterDelay(Millis(500)));
-    LONGS_EQUAL(200, rig.reply("POST", "/remind/1", "b").status);
+    LONGS_EQUAL(200, fixture.reply("POST", "/remind/1", "b").status);
 }
 
 TEST(CrashingRequest, CrashOfALeavingEndpointDoesNotQuarantine)
 {
     CrashingPool pool(loop(), 6, "s");
-    EntryRig rig(loop(), pool.places);
+    EntryFixture fixture(loop(), pool.places);
     for (int n = 0; n < 6; ++n) {
         // Each endpoint is listed as leaving while it runs its last request.
         std::optional<http::CallResult<http::Reply>> answered;
-        loop().start(rig.send("POST", "/book/1", EntryRig::caller("a" + std::to_string(n)), crashingBody), answered);
-        loop().until([&] {
+        loop().start(fixture.send("POST", "/book/1", EntryFixture::caller("a" + std::to_string(n)), crashingBody), answered);
+        loop().runUntil([&] {
             return pool.received == static_cast<std::size_t>(n + 1) || answered;
         });
-        for (const auto &endpoint : rig.table.endpoints()) {
-            rig.table.noteLeaving(endpoint, true, Clock::now());
+        for (const auto &endpoint : fixture.table.endpoints()) {
+            fixture.table.recordLeaving(endpoint, true, Clock::now());
         }
-        loop().until([&] {
+        loop().runUntil([&] {
             return answered.has_value();
         });
         loop().run(afterDelay(Millis(10)));
-        for (const auto &endpoint : rig.table.endpoints()) {
-            rig.table.noteLeaving(endpoint, false, Clock::now());
+        for (const auto &endpoint : fixture.table.endpoints()) {
+            fixture.table.recordLeaving(endpoint, false, Clock::now());
         }
     }
-    LONGS_EQUAL(0, rig.quarantine.heldCount(Clock::now()));
+    LONGS_EQUAL(0, fixture.quarantine.quarantinedCount(Clock::now()));
 }
 
 // The cost for a harmless request: three endpoints that crash under it in a row, without a complete
@@ -326,30 +326,30 @@
 TEST(CrashingRequest, RecentlyAnsweredContentIsServedWhenManyEndpointsCrashAtOnce)
 {
     CrashingPool pool(loop(), 14, "s");
-    EntryRig rig(loop(), pool.places);
-    LONGS_EQUAL(200, rig.reply("POST", "/remind/1", "before", {}, "{}").status);
+    EntryFixture fixture(loop(), pool.places);
+    LONGS_EQUAL(200, fixture.reply("POST", "/remind/1", "before", {}, "{}").status);
     for (std::size_t n = 0; n < 5; ++n) {
         pool.crashOn("{}");
-        rig.call("POST", "/remind/1", "a" + std::to_string(n), {}, "{}");
+        fixture.call("POST", "/remind/1", "a" + std::to_string(n), {}, "{}");
         loop().run(afterDelay(Millis(20)));
     }
     pool.crashOn(crashingBody);
     CHECK(pool.crashed >= 4);
-    LONGS_EQUAL(200, rig.reply("POST", "/remind/1", "after", {}, "{}").status);
+    LONGS_EQUAL(200, fixture.reply("POST", "/remind/1", "after", {}, "{}").status);
 }
 
 TEST(CrashingRequest, ConcurrentRequestResumesElsewhereAndIsNotQuarantined)
 {
     CrashingPool pool(loop(), 8, "m");
-    EntryRig rig(loop(), pool.places);
+    EntryFixture fixture(loop(), pool.places);
     for (int n = 0; n < 4; ++n) {
         std::optional<http::CallResult<http::Reply>> beside;
-        loop().start(rig.send("POST", "/chat/9", EntryRig::caller("b" + std::to_string(n)), slowBody), beside);
-        loop().until([&] {
+        loop().start(fixture.send("POST", "/chat/9", EntryFixture::caller("b" + std::to_string(n)), slowBody), beside);
+        loop().runUntil([&] {
             return pool.slowRunning > 0;
         });
-        rig.call("POST", "/once/1", "a" + std::to_string(n), {}, crashingBody);
-        loop().until([&] {
+        fixture.call("POST", "/once/1", "a" + std::to_string(n), {}, crashingBody);
+        loop().runUntil([&] {
             return beside.has_value();
         });
         CHECK(std::holds_alternative<http::Reply>(*beside));
@@ -357,20 +357,20 @@
         loop().run(afterDelay(Millis(20)));
     }
     CHECK(pool.crashed >= maxCrashes);
-    LONGS_EQUAL(1, rig.quarantine.heldCount(Clock::now())); // only the request that crashes endpoints
+    LONGS_EQUAL(1, fixture.quarantine.quarantinedCount(Clock::now())); // only the request that crashes endpoints
 }
 
 LOOP_GROUP(CrashingChat);
 
-// The router's own interface uses the same pipeline; there, routers share crash records through the
+// The router's native interface uses the same pipeline; there, routers share crash records through the
 // store.
 TEST(CrashingChat, ThreeCrashedEnginesQuarantineAChat)
 {
     std::size_t received = 0;
-    std::vector<std::unique_ptr<RawEndpoint>> engines;
+    std::vector<std::unique_ptr<ScriptedEndpoint>> engines;
     std::vector<Endpoint> listed;
     for (std::size_t n = 0; n < 8; ++n) {
-        engines.push_back(std::make_unique<RawEndpoint>(loop(), [&, n](tcp::socket &socket, const SeenRequest &) -> Task<void> {
+        engines.push_back(std::make_unique<ScriptedEndpoint>(loop(), [&, n](tcp::socket &socket, const ReceivedRequest &) -> Task<void> {
             ++received;
             engines[n]->stopListening();
             resetConnection(socket);
@@ -378,10 +378,10 @@
         }));
         listed.push_back(endpointAt("e" + std::to_string(n), engines.back()->port, "p", EndpointKind::Engine));
     }
-    RouterRig rig(loop(), listed);
+    RouterFixture fixture(loop(), listed);
     http::CallResult<http::Reply> last;
     for (int n = 0; n < 6; ++n) {
-        last = rig.chat(streamBody);
+        last = fixture.chat(streamBody);
         loop().run(afterDelay(Millis(20)));
     }
     CHECK(received <= maxCrashes + 1);
--- a/tests/test_endpoint_word.cpp
+++ b/tests/test_endpoint_self_report.cpp
@@ -1,35 +1,35 @@
 // What an endpoint reports about itself in its responses, that it is leaving or wants no requests
 // for a while, applies to every later send of the router that received the response.
-#include "duties.h"
-#include "entry_rig.h"
+#include "background_tasks.h"
+#include "entry_fixture.h"
 
 // CppUTest must be included last: its memory-leak macros redefine operator new.
 #include "loop_group.h"
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 
 namespace
 {
 
 const std::string leavingHeader = "Server-Leaving: 1\r\n";
 
-std::string idOf(const SeenRequest &request)
+std::string idOf(const ReceivedRequest &request)
 {
     return request.header("Yuccasaddle-Attempt-Id");
 }
 
-RawEndpoint::Script respondingWith(const std::string &extra, const std::string &status = "200 OK")
+ScriptedEndpoint::Script respondingWith(const std::string &extra, const std::string &status = "200 OK")
 {
-    return [=](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
+    return [=](tcp::socket &socket, const ReceivedRequest &request) -> Task<void> {
         co_await sendBytes(socket, signedAnswer(idOf(request), "ok", status, extra));
     };
 }
 
 // Rejects requests while a flag is set, and answers them otherwise.
-RawEndpoint::Script sheddingWhile(const bool &sheds, const std::string &extra)
+ScriptedEndpoint::Script sheddingWhile(const bool &sheds, const std::string &extra)
 {
-    return [&sheds, extra](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
+    return [&sheds, extra](tcp::socket &socket, const ReceivedRequest &request) -> Task<void> {
         if (sheds) {
             co_await sendBytes(socket, "HTTP/1.1 503 Service Unavailable\r\nYuccasaddle-Not-Executed: 1\r\n" + extra + "Content-Length: 0\r\n\r\n");
         } else {
@@ -38,11 +38,11 @@
     };
 }
 
-void sendRequests(EntryRig &rig, int times, const char *target = "/remind/1")
+void sendRequests(EntryFixture &fixture, int times, const char *target = "/remind/1")
 {
     static int calls = 0;
     for (int i = 0; i < times; ++i) {
-        rig.reply("POST", target, "w" + std::to_string(++calls));
+        fixture.reply("POST", target, "w" + std::to_string(++calls));
     }
 }
 
@@ -52,10 +52,10 @@
 
 TEST(EndpointSelfReport, EndpointThatReportsLeavingGetsNoFurtherRequests)
 {
-    RawEndpoint leaving(loop(), respondingWith(leavingHeader));
-    RawEndpoint stays(loop(), respondingWith(""));
-    EntryRig rig(loop(), {{"e1", {"s", leaving.port}}, {"e2", {"s", stays.port}}});
-    sendRequests(rig, 8);
+    ScriptedEndpoint leaving(loop(), respondingWith(leavingHeader));
+    ScriptedEndpoint stays(loop(), respondingWith(""));
+    EntryFixture fixture(loop(), {{"e1", {"s", leaving.port}}, {"e2", {"s", stays.port}}});
+    sendRequests(fixture, 8);
     LONGS_EQUAL(1, leaving.seen.size());
     LONGS_EQUAL(7, stays.seen.size());
 }
@@ -63,12 +63,12 @@
 TEST(EndpointSelfReport, EndpointThatRequestedBackOffGetsNoRequestsUntilItEnds)
 {
     bool sheds = true;
-    RawEndpoint full(loop(), sheddingWhile(sheds, "Retry-After: 30\r\n"));
-    RawEndpoint free(loop(), respondingWith(""));
-    EntryRig rig(loop(), {{"e1", {"s", full.port}}, {"e2", {"s", free.port}}});
-    sendRequests(rig, 8);
+    ScriptedEndpoint full(loop(), sheddingWhile(sheds, "Retry-After: 30\r\n"));
+    ScriptedEndpoint free(loop(), respondingWith(""));
+    EntryFixture fixture(loop(), {{"e1", {"s", full.port}}, {"e2", {"s", free.port}}});
+    sendRequests(fixture, 8);
     sheds = false;
-    sendRequests(rig, 8);
+    sendRequests(fixture, 8);
     LONGS_EQUAL(1, full.seen.size());
     LONGS_EQUAL(16, free.seen.size());
 }
@@ -77,18 +77,18 @@
 {
 
 // Sends another request's late response, with extra headers, before the requested one.
-RawEndpoint::Script respondingAfterLateResponse(const std::string &extra)
+ScriptedEndpoint::Script respondingAfterLateResponse(const std::string &extra)
 {
-    return [=](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
+    return [=](tcp::socket &socket, const ReceivedRequest &request) -> Task<void> {
         const std::string late = signedAnswer("another", "late", "200 OK", extra);
         co_await sendBytes(socket, late + signedAnswer(idOf(request), "ok"));
     };
 }
 
-Endpoint engineAt(const std::string &id, int64_t born = 1)
+Endpoint engineAt(const std::string &id, int64_t startedAtMs = 1)
 {
     Endpoint e{id, "127.0.0.1", 9000, "m"};
-    e.born = born;
+    e.startedAtMs = startedAtMs;
     return e;
 }
 
@@ -117,48 +117,48 @@
 
 TEST(EndpointSelfReport, LeavingReportInAFailureResponseIsApplied)
 {
-    RawEndpoint leaving(loop(), respondingWith(leavingHeader, "500 Internal Server Error"));
-    RawEndpoint stays(loop(), respondingWith(""));
-    EntryRig rig(loop(), {{"e1", {"s", leaving.port}}, {"e2", {"s", stays.port}}});
-    sendRequests(rig, 8);
+    ScriptedEndpoint leaving(loop(), respondingWith(leavingHeader, "500 Internal Server Error"));
+    ScriptedEndpoint stays(loop(), respondingWith(""));
+    EntryFixture fixture(loop(), {{"e1", {"s", leaving.port}}, {"e2", {"s", stays.port}}});
+    sendRequests(fixture, 8);
     LONGS_EQUAL(1, leaving.seen.size());
 }
 
 TEST(EndpointSelfReport, LeavingReportInARejectionIsApplied)
 {
     const bool sheds = true;
-    RawEndpoint leaving(loop(), sheddingWhile(sheds, leavingHeader));
-    RawEndpoint stays(loop(), respondingWith(""));
-    EntryRig rig(loop(), {{"e1", {"s", leaving.port}}, {"e2", {"s", stays.port}}});
-    sendRequests(rig, 8);
+    ScriptedEndpoint leaving(loop(), sheddingWhile(sheds, leavingHeader));
+    ScriptedEndpoint stays(loop(), respondingWith(""));
+    EntryFixture fixture(loop(), {{"e1", {"s", leaving.port}}, {"e2", {"s", stays.port}}});
+    sendRequests(fixture, 8);
     LONGS_EQUAL(1, leaving.seen.size());
 }
 
 TEST(EndpointSelfReport, LeavingReportInALateResponseToAnotherRequestIsApplied)
 {
-    RawEndpoint leaving(loop(), respondingAfterLateResponse(leavingHeader));
-    RawEndpoint stays(loop(), respondingWith(""));
-    EntryRig rig(loop(), {{"e1", {"s", leaving.port}}, {"e2", {"s", stays.port}}});
-    sendRequests(rig, 8);
+    ScriptedEndpoint leaving(loop(), respondingAfterLateResponse(leavingHeader));
+    ScriptedEndpoint stays(loop(), respondingWith(""));
+    EntryFixture fixture(loop(), {{"e1", {"s", leaving.port}}, {"e2", {"s", stays.port}}});
+    sendRequests(fixture, 8);
     LONGS_EQUAL(1, leaving.seen.size());
 }
 
 TEST(EndpointSelfReport, BrokenStreamOfALeavingEndpointResumesElsewhere)
 {
-    RawEndpoint leaving(loop(), [](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
+    ScriptedEndpoint leaving(loop(), [](tcp::socket &socket, const ReceivedRequest &request) -> Task<void> {
         std::string head = streamHead(idOf(request));
         head.insert(head.find("\r\n") + 2, leavingHeader);
         co_await sendBytes(socket, head + chunk(eventNumber(1)) + chunk("id: 2\nda"));
         resetConnection(socket);
     });
-    RawEndpoint stays(loop(), [](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
+    ScriptedEndpoint stays(loop(), [](tcp::socket &socket, const ReceivedRequest &request) -> Task<void> {
         const bool resumed = request.header("Last-Event-Id") == "1";
         const std::string first = resumed ? std::string() : chunk(eventNumber(1));
         co_await sendBytes(socket, streamHead(idOf(request)) + first + chunk(eventNumber(2)) + "0\r\n\r\n");
     });
-    EntryRig rig(loop(), {{"e1", {"m", leaving.port}}, {"e2", {"m", stays.port}}});
+    EntryFixture fixture(loop(), {{"e1", {"m", leaving.port}}, {"e2", {"m", stays.port}}});
     for (int i = 0; i < 8; ++i) {
-        const auto reply = rig.reply("POST", "/chat/1", "c" + std::to_string(i));
+        const auto reply = fixture.reply("POST", "/chat/1", "c" + std::to_string(i));
         STRCMP_EQUAL((eventNumber(1) + eventNumber(2)).c_str(), reply.body.c_str());
     }
     LONGS_EQUAL(1, leaving.seen.size());
@@ -166,10 +166,10 @@
 
 TEST(EndpointSelfReport, RequestIsRejectedAsNotRunWhenAllEndpointsAreLeaving)
 {
-    RawEndpoint leaving(loop(), respondingWith(leavingHeader));
-    EntryRig rig(loop(), {{"e1", {"s", leaving.port}}});
-    sendRequests(rig, 1);
-    const auto reply = rig.reply("POST", "/remind/1", "last");
+    ScriptedEndpoint leaving(loop(), respondingWith(leavingHeader));
+    EntryFixture fixture(loop(), {{"e1", {"s", leaving.port}}});
+    sendRequests(fixture, 1);
+    const auto reply = fixture.reply("POST", "/remind/1", "last");
     LONGS_EQUAL(503, reply.status);
     CHECK(!reply.header("Retry-After").empty());
     LONGS_EQUAL(1, leaving.seen.size());
@@ -180,11 +180,11 @@
     router::RoutingTable table(homePolicy());
     const auto now = Clock::now();
     table.setEndpoints({engineAt("a"), engineAt("b")}, now);
-    CHECK(table.noteLeaving(engineAt("a"), true, now));
+    CHECK(table.recordLeaving(engineAt("a"), true, now));
     table.setEndpoints({engineAt("b")}, now);
     table.setEndpoints({engineAt("a"), engineAt("b")}, now + std::chrono::seconds(60));
     CHECK(!acceptsRequests(table, "a"));
-    CHECK(!table.acquireAgain(engineAt("a"), now));
+    CHECK(!table.acquireForResend(engineAt("a"), now));
 }
 
 TEST(EndpointSelfReport, LeavingReportOfAnUnlistedEndpointIsRemembered)
@@ -192,7 +192,7 @@
     router::RoutingTable table(homePolicy());
     const auto now = Clock::now();
     table.setEndpoints({engineAt("b")}, now);
-    CHECK(table.noteLeaving(engineAt("a"), true, now));
+    CHECK(table.recordLeaving(engineAt("a"), true, now));
     table.setEndpoints({engineAt("a"), engineAt("b")}, now);
     CHECK(!acceptsRequests(table, "a"));
 }
@@ -202,7 +202,7 @@
     router::RoutingTable table(homePolicy());
     const auto now = Clock::now();
     table.setEndpoints({engineAt("a"), engineAt("b")}, now);
-    table.noteLeaving(engineAt("a"), true, now);
+    table.recordLeaving(engineAt("a"), true, now);
     table.setEndpoints({engineAt("a", 2), engineAt("b")}, now);
     CHECK(acceptsRequests(table, "a"));
 }
@@ -213,11 +213,11 @@
     router::RoutingTable table(homePolicy());
     const auto now = Clock::now();
     table.setEndpoints({engineAt("a"), engineAt("b"), engineAt("c")}, now);
-    table.tookPrompt(prompt, engineAt("a"), now);
-    const auto before = table.beliefOf(prompt, engineAt("b"), now);
+    table.recordPromptHolder(prompt, engineAt("a"), now);
+    const auto before = table.estimatePrompt(prompt, engineAt("b"), now);
     STRCMP_EQUAL("a", before.source ? before.source->id.c_str() : "");
-    table.noteLeaving(engineAt("a"), true, now);
-    const auto after = table.beliefOf(prompt, engineAt("b"), now);
+    table.recordLeaving(engineAt("a"), true, now);
+    const auto after = table.estimatePrompt(prompt, engineAt("b"), now);
     CHECK(!after.source || after.source->id != "a");
 }
 
@@ -228,18 +228,18 @@
         ++orders;
         return ex.reply(200, "{}", {{"x-engine-draining", "true"}});
     });
-    RouterRig rig(loop(), {endpointAt("e", engine.port, "p", EndpointKind::Engine)});
-    const auto send = duties::httpSender(rig.client, rig.control, rig.table, "router-1");
-    CHECK(loop().run(send({"e", "load_model", "counsel-v2", "load.1"}, 1)) == orders::Ack::Applied);
-    CHECK(loop().run(send({"e", "load_model", "counsel-v3", "load.2"}, 1)) == orders::Ack::NotSent);
-    CHECK(loop().run(send({"e", "undrain", "", "undrain.1"}, 1)) == orders::Ack::Applied);
+    RouterFixture fixture(loop(), {endpointAt("e", engine.port, "p", EndpointKind::Engine)});
+    const auto send = background::makeHttpOrderSender(fixture.client, fixture.control, fixture.table, "router-1");
+    CHECK(loop().run(send({"e", "load_model", "counsel-v2", "load.1"}, 1)) == orders::SendResult::Applied);
+    CHECK(loop().run(send({"e", "load_model", "counsel-v3", "load.2"}, 1)) == orders::SendResult::NotSent);
+    CHECK(loop().run(send({"e", "undrain", "", "undrain.1"}, 1)) == orders::SendResult::Applied);
     LONGS_EQUAL(2, orders);
 }
 
 TEST(EndpointSelfReport, BackOffHeaderIsParsedInSecondsAndLimitedToOneHour)
 {
     const auto asked = [](unsigned status, const char *text) {
-        const auto wait = http::backOffAskedFor(status, text);
+        const auto wait = http::requestedBackOff(status, text);
         return wait ? wait->count() : int64_t{-1};
     };
     LONGS_EQUAL(3000, asked(503, "3"));
@@ -256,11 +256,11 @@
 TEST(EndpointSelfReport, RetryAfterIsTheEarliestBackOffEndWhenAllEndpointsBackOff)
 {
     const bool sheds = true;
-    RawEndpoint first(loop(), sheddingWhile(sheds, "Retry-After: 2\r\n"));
-    RawEndpoint second(loop(), sheddingWhile(sheds, "Retry-After: 60\r\n"));
-    EntryRig rig(loop(), {{"e1", {"s", first.port}}, {"e2", {"s", second.port}}});
-    sendRequests(rig, 1);
-    const auto reply = rig.reply("POST", "/remind/1", "last", {{"Yuccasaddle-Deadline-Ms", "4000"}});
+    ScriptedEndpoint first(loop(), sheddingWhile(sheds, "Retry-After: 2\r\n"));
+    ScriptedEndpoint second(loop(), sheddingWhile(sheds, "Retry-After: 60\r\n"));
+    EntryFixture fixture(loop(), {{"e1", {"s", first.port}}, {"e2", {"s", second.port}}});
+    sendRequests(fixture, 1);
+    const auto reply = fixture.reply("POST", "/remind/1", "last", {{"Yuccasaddle-Deadline-Ms", "4000"}});
     LONGS_EQUAL(503, reply.status);
     const double wait = std::stod(reply.header("Retry-After"));
     CHECK(wait > 1 && wait <= 2);
@@ -271,9 +271,9 @@
 TEST(EndpointSelfReport, RetryAfterIsShortWhenBackOffOutlastsTheDeadline)
 {
     const bool sheds = true;
-    RawEndpoint full(loop(), sheddingWhile(sheds, "Retry-After: 60\r\n"));
-    EntryRig rig(loop(), {{"e1", {"s", full.port}}});
-    const auto reply = rig.reply("POST", "/remind/1", "one", {{"Yuccasaddle-Deadline-Ms", "4000"}});
+    ScriptedEndpoint full(loop(), sheddingWhile(sheds, "Retry-After: 60\r\n"));
+    EntryFixture fixture(loop(), {{"e1", {"s", full.port}}});
+    const auto reply = fixture.reply("POST", "/remind/1", "one", {{"Yuccasaddle-Deadline-Ms", "4000"}});
     LONGS_EQUAL(503, reply.status);
     CHECK(std::stod(reply.header("Retry-After")) < 1);
 }
@@ -309,12 +309,12 @@
     router::RoutingTable table(homePolicy());
     const auto now = Clock::now();
     table.setEndpoints({engineAt("a"), engineAt("b"), engineAt("c")}, now);
-    table.tookPrompt(prompt, engineAt("a"), now);
-    CHECK(table.acquireAgain(engineAt("a"), now));
+    table.recordPromptHolder(prompt, engineAt("a"), now);
+    CHECK(table.acquireForResend(engineAt("a"), now));
     table.backOff(engineAt("a"), now + std::chrono::seconds(3));
-    CHECK(!table.acquireAgain(engineAt("a"), now));
-    const auto belief = table.beliefOf(prompt, engineAt("b"), now);
-    CHECK(!belief.source || belief.source->id != "a");
+    CHECK(!table.acquireForResend(engineAt("a"), now));
+    const auto promptEstimate = table.estimatePrompt(prompt, engineAt("b"), now);
+    CHECK(!promptEstimate.source || promptEstimate.source->id != "a");
 }
 
 TEST(EndpointSelfReport, OrderIsNotSentToAnEngineThatRequestedBackOff)
@@ -324,9 +324,9 @@
         ++orders;
         return ex.reply(503, "{}", {{"Retry-After", "30"}});
     });
-    RouterRig rig(loop(), {endpointAt("e", engine.port, "p", EndpointKind::Engine)});
-    const auto send = duties::httpSender(rig.client, rig.control, rig.table, "router-1");
-    CHECK(loop().run(send({"e", "load_model", "counsel-v2", "load.1"}, 1)) == orders::Ack::Unknown);
-    CHECK(loop().run(send({"e", "undrain", "", "undrain.1"}, 1)) == orders::Ack::NotSent);
+    RouterFixture fixture(loop(), {endpointAt("e", engine.port, "p", EndpointKind::Engine)});
+    const auto send = background::makeHttpOrderSender(fixture.client, fixture.control, fixture.table, "router-1");
+    CHECK(loop().run(send({"e", "load_model", "counsel-v2", "load.1"}, 1)) == orders::SendResult::Unknown);
+    CHECK(loop().run(send({"e", "undrain", "", "undrain.1"}, 1)) == orders::SendResult::NotSent);
     LONGS_EQUAL(1, orders);
 }
--- a/tests/test_entry_state.cpp
+++ b/tests/test_entry_state.cpp
@@ -3,9 +3,9 @@
 #include "codec.h"
 #include "entry/entry_metrics.h"
 #include "entry/entry_settings.h"
-#include "entry/line_budget.h"
+#include "entry/log_rate_limiter.h"
 #include "entry/outlier_detector.h"
-#include "entry_rig.h"
+#include "entry_fixture.h"
 #include "local_object_api.h"
 #include "recording_sink.h"
 
@@ -15,7 +15,7 @@
 #include "loop_group.h"
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 
 TEST_GROUP(OutlierDetector)
 {
@@ -124,7 +124,7 @@
     LONGS_EQUAL(3, table.endpoints().size());
     published.setEndpoint(endpoint("a")); // its entry has been written again
     published.publishEndpoints();
-    published.dropLapsed(back + std::chrono::milliseconds(100));
+    published.endExpiredRetention(back + std::chrono::milliseconds(100));
     LONGS_EQUAL(3, table.endpoints().size());
 }
 
@@ -380,7 +380,7 @@
     store.put("k", "c", 1, std::nullopt);
     CHECK(loop().run(follower.step()));
     const std::vector<std::string> expected{"listed 1", "listed 1", "set c"};
-    CHECK(sink.news == expected);
+    CHECK(sink.updates == expected);
 }
 
 namespace
@@ -431,7 +431,7 @@
     CHECK(api.asked == pages);
     CHECK(loop().run(follower.step()));
     const std::vector<std::string> expected{"so far 2", "so far 4", "regained", "listed 5", "set a"};
-    CHECK(sink.news == expected);
+    CHECK(sink.updates == expected);
 }
 
 TEST(EntryFollower, EndpointsOfFirstPagesAreUsedBeforeTheListingIsComplete)
@@ -440,7 +440,7 @@
     PagedStore api(store);
     api.failing = 3;
     for (const char *name : {"i-a", "i-b", "i-c", "i-d", "i-e"}) {
-        store.put(platform::ObjectCodec::endpointKind, name, entryAt("127.0.0.1:80"), std::nullopt);
+        store.put(platform::ObjectCodec::endpointKind, name, endpointEntryAt("127.0.0.1:80"), std::nullopt);
     }
     router::RoutingTable table;
     entry::Published published(table);
@@ -470,7 +470,7 @@
     api.outage = false;
     CHECK(loop().run(follower.step()));
     const std::vector<std::string> expected{"listed 0", "regained", "set a"};
-    CHECK(sink.news == expected);
+    CHECK(sink.updates == expected);
 }
 
 namespace
@@ -486,10 +486,10 @@
     {
         ++watches;
         co_await sleepFor(Millis(1)); // lets the test's event loop go on while a watch has no changes
-        while (silent && !cancellation->fired()) {
+        while (silent && !cancellation->isCancelled()) {
             co_await sleepFor(Millis(1));
         }
-        if (cancellation->fired()) {
+        if (cancellation->isCancelled()) {
             co_return Error{store::Unavailable, "cancelled"};
         }
         co_return co_await LocalObjectApi::watch(kind, from, timeout, freshness, cancellation);
@@ -510,23 +510,23 @@
     entry::Control<platform::ObjectCodec> control(api, published);
     asio::co_spawn(loop().io, control.followConfiguration(), asio::detached);
     asio::co_spawn(loop().io, control.watchStore(), asio::detached);
-    loop().until([&] {
+    loop().runUntil([&] {
         return api.watches == 1;
     });
     api.outage = true; // long enough for a poll to fail
     const auto asked = Clock::now();
-    loop().until([&] {
+    loop().runUntil([&] {
         return Clock::now() - asked > entry::storePollInterval + entry::storeRetryInterval;
     });
     store.put("config", "main", entryConfiguration(2), std::nullopt);
     api.outage = false;
-    loop().until([&] {
+    loop().runUntil([&] {
         api.silent = api.silent && api.watches == 1;
         return published.configuration() && published.configuration()->version == 2;
     });
     LONGS_EQUAL(2, published.configuration()->version);
     control.stop();
-    loop().until([&] {
+    loop().runUntil([&] {
         return Clock::now() - asked > std::chrono::seconds(4) || api.watches > 2;
     });
 }
@@ -536,7 +536,7 @@
     // With longer waits, a new configuration stayed out of force for seconds after the store had
     // dropped its history without ending the watches.
     const FollowerOptions options;
-    CHECK(options.watchWait + platform::watchMargin < std::chrono::seconds(3));
+    CHECK(options.watchTimeout + platform::watchResponseMargin < std::chrono::seconds(3));
 }
 
 TEST(EntryFollower, RestartWatchEndsThePauseAfterAFailedCall)
@@ -546,27 +546,27 @@
     api.silent = false;
     RecordingSink sink;
     FollowerOptions options;
-    options.firstPause = Millis(60000);
-    options.longestPause = Millis(60000);
+    options.initialRetryDelay = Millis(60000);
+    options.maxRetryDelay = Millis(60000);
     Follower<RecordingSink> follower(api, "k", sink, options);
     CHECK(loop().run(follower.step()));
     api.outage = true;
     std::optional<bool> ended;
-    loop().start(ranToItsEnd(follower), ended);
+    loop().start(runUntilStopped(follower), ended);
     std::optional<bool> waited;
-    loop().run(passed(Millis(50)));
+    loop().run(trueAfterDelay(Millis(50)));
     LONGS_EQUAL(1, api.watches); // no further watch before the follower is notified
     api.outage = false;
     store.put("k", "a", 1, std::nullopt);
     follower.restartWatch();
-    loop().start(passed(Millis(5000)), waited);
-    loop().until([&] {
-        return waited.has_value() || sink.news.size() == 3;
+    loop().start(trueAfterDelay(Millis(5000)), waited);
+    loop().runUntil([&] {
+        return waited.has_value() || sink.updates.size() == 3;
     });
     const std::vector<std::string> expected{"listed 0", "regained", "set a"};
-    CHECK(sink.news == expected);
+    CHECK(sink.updates == expected);
     follower.stop();
-    loop().until([&] {
+    loop().runUntil([&] {
         return ended.has_value();
     });
     CHECK(ended.has_value());
@@ -579,16 +579,16 @@
     RecordingSink sink;
     ReadPolicy reads;
     FollowerOptions options;
-    options.reads = &reads;
+    options.readPolicy = &reads;
     Follower<RecordingSink> follower(api, "k", sink, options);
     for (int i = 0; i < 20; ++i) {
         CHECK(loop().run(follower.step()));
     }
     LONGS_EQUAL(0, api.currentWatches); // the listing was current, and no time has passed
     ReadPolicyOptions always;
-    always.checkEvery = Millis(0);
+    always.currentReadInterval = Millis(0);
     ReadPolicy checking(always);
-    options.reads = &checking;
+    options.readPolicy = &checking;
     Follower<RecordingSink> checked(api, "k", sink, options);
     CHECK(loop().run(checked.step()));
     CHECK(loop().run(checked.step()));
@@ -603,7 +603,7 @@
     RecordingSink sink;
     ReadPolicy reads;
     FollowerOptions options;
-    options.reads = &reads;
+    options.readPolicy = &reads;
     Follower<RecordingSink> first(api, "k", sink, options);
     Follower<RecordingSink> second(api, "other", sink, options);
     CHECK(loop().run(first.step()));
@@ -616,7 +616,7 @@
     CHECK(loop().run(second.step())); // answered from an old state: there is nothing new, and another listing would not help
     CHECK(loop().run(second.step())); // a current watch
     const std::vector<std::string> expected{"listed 0", "listed 0", "set a", "set b"};
-    CHECK(sink.news == expected);
+    CHECK(sink.updates == expected);
     LONGS_EQUAL(1, api.currentWatches);
 }
 
@@ -627,7 +627,7 @@
     RecordingSink sink;
     ReadPolicy reads;
     FollowerOptions options;
-    options.reads = &reads;
+    options.readPolicy = &reads;
     Follower<RecordingSink> follower(api, "k", sink, options);
     CHECK(loop().run(follower.step()));
     store.put("k", "a", 1, std::nullopt);
@@ -644,9 +644,9 @@
     ReadPolicy reads;
     const Clock::time_point now{std::chrono::hours(1)};
     CHECK(reads.choose(now, now) == platform::Freshness::MayLag);
-    reads.answered(platform::Freshness::Current, 5, true, now, now + Millis(500)); // the changes came while the watch waited
+    reads.recordAnswer(platform::Freshness::Current, 5, true, now, now + Millis(500)); // the changes came while the watch waited
     CHECK(reads.choose(now, now + Millis(500)) == platform::Freshness::MayLag);
-    reads.answered(platform::Freshness::Current, 6, true, now, now + Millis(5));
+    reads.recordAnswer(platform::Freshness::Current, 6, true, now, now + Millis(5));
     CHECK(reads.choose(now, now + Millis(500)) == platform::Freshness::Current);
 }
 
@@ -657,15 +657,15 @@
     const Clock::time_point now{std::chrono::hours(1)};
     // Current watches follow each other while many endpoints change; no replica was asked in
     // between.
-    reads.answered(Freshness::Current, 6, true, now, now + Millis(5), Freshness::Current);
+    reads.recordAnswer(Freshness::Current, 6, true, now, now + Millis(5), Freshness::Current);
     CHECK(reads.choose(now, now) == Freshness::MayLag);
-    reads.answered(Freshness::Current, 7, true, now, now + Millis(5), Freshness::MayLag);
+    reads.recordAnswer(Freshness::Current, 7, true, now, now + Millis(5), Freshness::MayLag);
     CHECK(reads.choose(now, now + Millis(2000)) == Freshness::Current);
     CHECK(reads.choose(now, now + Millis(3000)) == Freshness::MayLag);
     // A replica that is behind the newest known revision is a strong sign.
-    reads.answered(Freshness::MayLag, 6, false, now + Millis(3000), now + Millis(3005));
+    reads.recordAnswer(Freshness::MayLag, 6, false, now + Millis(3000), now + Millis(3005));
     CHECK(reads.choose(now + Millis(20000), now + Millis(20000)) == Freshness::Current);
-    reads.answered(Freshness::Current, 9, true, now + Millis(3000), now + Millis(3005), Freshness::MayLag);
+    reads.recordAnswer(Freshness::Current, 9, true, now + Millis(3000), now + Millis(3005), Freshness::MayLag);
     CHECK(reads.choose(now + Millis(20000), now + Millis(20000)) == Freshness::Current); // a weak sign does not shorten the period
 }
 
@@ -701,25 +701,25 @@
     BusyStore api(store);
     RecordingSink sink;
     FollowerOptions options;
-    options.afterNews = Millis(60000); // only a restart ends the pause in this test
+    options.changeCoalescingDelay = Millis(60000); // only a restart ends the pause in this test
     Follower<RecordingSink> follower(api, "k", sink, options);
     std::optional<bool> ended;
-    loop().start(ranToItsEnd(follower), ended);
-    loop().until([&] {
-        return sink.news.size() == 2;
+    loop().start(runUntilStopped(follower), ended);
+    loop().runUntil([&] {
+        return sink.updates.size() == 2;
     });
     std::optional<bool> waited;
-    loop().start(passed(Millis(30)), waited);
-    loop().until([&] {
+    loop().start(trueAfterDelay(Millis(30)), waited);
+    loop().runUntil([&] {
         return waited.has_value();
     });
     LONGS_EQUAL(1, api.watches); // without the pause, the store would be asked continuously
     follower.restartWatch(); // the store is available again: it is asked at once
-    loop().until([&] {
+    loop().runUntil([&] {
         return api.watches == 2;
     });
     follower.stop();
-    loop().until([&] {
+    loop().runUntil([&] {
         return ended.has_value();
     });
 }
@@ -729,18 +729,18 @@
 TEST(EntryHealth, EndpointThatFailsHalfOfItsRequestsGetsFewRequests)
 {
     int asked = 0;
-    RawEndpoint failingHalf(loop(), [&](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
+    ScriptedEndpoint failingHalf(loop(), [&](tcp::socket &socket, const ReceivedRequest &request) -> Task<void> {
         const std::string status = ++asked % 2 == 0 ? "200 OK" : "500 Internal Server Error";
         co_await sendBytes(socket, signedAnswer(request.header("Yuccasaddle-Attempt-Id"), "x", status));
     });
-    const RawEndpoint::Script healthy = [](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
+    const ScriptedEndpoint::Script healthy = [](tcp::socket &socket, const ReceivedRequest &request) -> Task<void> {
         co_await sendBytes(socket, signedAnswer(request.header("Yuccasaddle-Attempt-Id"), "x"));
     };
-    RawEndpoint a(loop(), healthy);
-    RawEndpoint b(loop(), healthy);
-    EntryRig rig(loop(), {{"grey", {"s", failingHalf.port}}, {"a", {"s", a.port}}, {"b", {"s", b.port}}});
+    ScriptedEndpoint a(loop(), healthy);
+    ScriptedEndpoint b(loop(), healthy);
+    EntryFixture fixture(loop(), {{"grey", {"s", failingHalf.port}}, {"a", {"s", a.port}}, {"b", {"s", b.port}}});
     for (int i = 0; i < 120; ++i) {
-        rig.reply("POST", "/book/1", "a" + std::to_string(i));
+        fixture.reply("POST", "/book/1", "a" + std::to_string(i));
     }
     CHECK(failingHalf.seen.size() < 25); // an equal share would be 40
     CHECK(failingHalf.seen.size() >= 4);
