--- a/tests/test_evacuation.cpp
+++ b/tests/test_evacuation.cpp
@@ -1,6 +1,6 @@
 // Tests of evacuated failure domains, and of the limits on requests to cold endpoints after their
 // return, which several routers enforce independently.
-#include "control_rig.h"
+#include "control_fixture.h"
 
 // CppUTest must be included last: its memory-leak macros redefine operator new.
 #include "loop_group.h"
@@ -8,7 +8,7 @@
 #include <algorithm>
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 
 namespace
 {
@@ -21,74 +21,74 @@
 
 TEST(Evacuation, RouterIsNotReadyBeforeItKnowsTheEvacuationOrders)
 {
-    ControlRig rig;
-    rig.store.put(evacuations, "north", nlohmann::json::object(), std::nullopt);
-    rig.start(loop());
-    CHECK(!rig.published.ready());
-    CHECK(loop().run(rig.control.stepEvacuations()));
-    CHECK(rig.published.ready());
-    CHECK((rig.takers() == std::set<std::string>{"i-south"}));
+    ControlFixture fixture;
+    fixture.store.put(evacuations, "north", nlohmann::json::object(), std::nullopt);
+    fixture.start(loop());
+    CHECK(!fixture.published.ready());
+    CHECK(loop().run(fixture.control.stepEvacuations()));
+    CHECK(fixture.published.ready());
+    CHECK((fixture.placementTargets() == std::set<std::string>{"i-south"}));
 }
 
 TEST(Evacuation, EvacuationOrdersCanBeWithdrawnAndRepeated)
 {
-    ControlRig rig;
-    rig.start(loop());
-    CHECK(loop().run(rig.control.stepEvacuations()));
+    ControlFixture fixture;
+    fixture.start(loop());
+    CHECK(loop().run(fixture.control.stepEvacuations()));
     const std::set<std::string> both{"i-north", "i-south"};
     for (int round = 0; round < 2; ++round) {
-        CHECK(rig.takers() == both);
-        rig.store.put(evacuations, "north", nlohmann::json::object(), std::nullopt);
-        CHECK(loop().run(rig.control.stepEvacuations()));
-        CHECK((rig.takers() == std::set<std::string>{"i-south"}));
-        rig.store.put(evacuations, "south", nlohmann::json::object(), std::nullopt);
-        CHECK(loop().run(rig.control.stepEvacuations()));
-        CHECK((rig.takers() == std::set<std::string>{""}));
-        rig.store.remove(evacuations, "north", std::nullopt);
-        rig.store.remove(evacuations, "south", std::nullopt);
-        CHECK(loop().run(rig.control.stepEvacuations()));
+        CHECK(fixture.placementTargets() == both);
+        fixture.store.put(evacuations, "north", nlohmann::json::object(), std::nullopt);
+        CHECK(loop().run(fixture.control.stepEvacuations()));
+        CHECK((fixture.placementTargets() == std::set<std::string>{"i-south"}));
+        fixture.store.put(evacuations, "south", nlohmann::json::object(), std::nullopt);
+        CHECK(loop().run(fixture.control.stepEvacuations()));
+        CHECK((fixture.placementTargets() == std::set<std::string>{""}));
+        fixture.store.remove(evacuations, "north", std::nullopt);
+        fixture.store.remove(evacuations, "south", std::nullopt);
+        CHECK(loop().run(fixture.control.stepEvacuations()));
     }
-    CHECK(rig.takers() == both);
+    CHECK(fixture.placementTargets() == both);
 }
 
 TEST(Evacuation, MalformedOrderAppliesAndOrderForUnknownDomainHasNoEffect)
 {
-    ControlRig rig;
-    rig.store.put(evacuations, "north", nlohmann::json(), std::nullopt);
-    rig.store.put(evacuations, "nowhere", "?", std::nullopt);
-    rig.start(loop());
-    CHECK(loop().run(rig.control.stepEvacuations()));
-    CHECK((rig.takers() == std::set<std::string>{"i-south"}));
+    ControlFixture fixture;
+    fixture.store.put(evacuations, "north", nlohmann::json(), std::nullopt);
+    fixture.store.put(evacuations, "nowhere", "?", std::nullopt);
+    fixture.start(loop());
+    CHECK(loop().run(fixture.control.stepEvacuations()));
+    CHECK((fixture.placementTargets() == std::set<std::string>{"i-south"}));
 }
 
 TEST(Evacuation, LastOrdersApplyDuringAStoreOutageAndChangesFollow)
 {
-    ControlRig rig;
-    rig.store.put(evacuations, "north", nlohmann::json::object(), std::nullopt);
-    rig.start(loop());
-    CHECK(loop().run(rig.control.stepEvacuations()));
-    rig.api.outage = true;
-    CHECK(!loop().run(rig.control.stepEvacuations()));
-    CHECK((rig.takers() == std::set<std::string>{"i-south"}));
-    rig.store.remove(evacuations, "north", std::nullopt);
-    rig.store.put(evacuations, "south", nlohmann::json::object(), std::nullopt);
-    rig.store.compact(); // the history of its changes is lost as well
-    rig.api.outage = false;
-    CHECK(loop().run(rig.control.stepEvacuations()));
-    CHECK(loop().run(rig.control.stepEvacuations()));
-    CHECK((rig.takers() == std::set<std::string>{"i-north"}));
+    ControlFixture fixture;
+    fixture.store.put(evacuations, "north", nlohmann::json::object(), std::nullopt);
+    fixture.start(loop());
+    CHECK(loop().run(fixture.control.stepEvacuations()));
+    fixture.api.outage = true;
+    CHECK(!loop().run(fixture.control.stepEvacuations()));
+    CHECK((fixture.placementTargets() == std::set<std::string>{"i-south"}));
+    fixture.store.remove(evacuations, "north", std::nullopt);
+    fixture.store.put(evacuations, "south", nlohmann::json::object(), std::nullopt);
+    fixture.store.compact(); // the history of its changes is lost as well
+    fixture.api.outage = false;
+    CHECK(loop().run(fixture.control.stepEvacuations()));
+    CHECK(loop().run(fixture.control.stepEvacuations()));
+    CHECK((fixture.placementTargets() == std::set<std::string>{"i-north"}));
 }
 
 namespace
 {
 
-Task<void> answerOk(tcp::socket &socket, const SeenRequest &request)
+Task<void> answerOk(tcp::socket &socket, const ReceivedRequest &request)
 {
     co_await sendBytes(socket, signedAnswer(request.header("Yuccasaddle-Attempt-Id"), "ok"));
 }
 
 // Lists endpoints of a service at a router; places maps ids to failure domain and port.
-void listIn(EntryRig &rig, const std::string &service, const std::map<std::string, std::pair<std::string, uint16_t>> &places)
+void listIn(EntryFixture &fixture, const std::string &service, const std::map<std::string, std::pair<std::string, uint16_t>> &places)
 {
     std::map<std::string, Endpoint> listed;
     for (const auto &[id, place] : places) {
@@ -96,28 +96,28 @@
         e.zone = place.first;
         listed.emplace(id, e);
     }
-    rig.published.replaceEndpoints(listed);
+    fixture.published.replaceEndpoints(listed);
 }
 
 } // namespace
 
 TEST(Evacuation, EvacuationAppliesToKeepAliveConnectionsAndRetries)
 {
-    RawEndpoint north(loop(), answerOk);
-    RawEndpoint south(loop(), [](tcp::socket &socket, const SeenRequest &) -> Task<void> {
+    ScriptedEndpoint north(loop(), answerOk);
+    ScriptedEndpoint south(loop(), [](tcp::socket &socket, const ReceivedRequest &) -> Task<void> {
         resetConnection(socket);
         co_return;
     });
-    EntryRig rig(loop(), {});
-    listIn(rig, "s", {{"n", {"north", north.port}}, {"s", {"south", south.port}}});
+    EntryFixture fixture(loop(), {});
+    listIn(fixture, "s", {{"n", {"north", north.port}}, {"s", {"south", south.port}}});
     for (int n = 0; n < 8; ++n) {
-        rig.reply("GET", "/remind/1", "before-" + std::to_string(n));
+        fixture.reply("GET", "/remind/1", "before-" + std::to_string(n));
     }
     CHECK(!north.seen.empty());
     const auto before = north.seen.size();
-    rig.published.setEvacuated("north", true);
+    fixture.published.setEvacuated("north", true);
     for (int n = 0; n < 8; ++n) {
-        const auto reply = rig.reply("GET", "/remind/1", "after-" + std::to_string(n));
+        const auto reply = fixture.reply("GET", "/remind/1", "after-" + std::to_string(n));
         CHECK(reply.status != 200); // the only other endpoint resets every connection
     }
     LONGS_EQUAL(before, north.seen.size());
@@ -125,7 +125,7 @@
 
 TEST(Evacuation, StreamInFlightCompletesAfterEvacuation)
 {
-    RawEndpoint north(loop(), [](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
+    ScriptedEndpoint north(loop(), [](tcp::socket &socket, const ReceivedRequest &request) -> Task<void> {
         co_await sendBytes(socket, streamHead(request.header("Yuccasaddle-Attempt-Id")));
         for (int event = 1; event <= 10; ++event) {
             co_await sleepFor(Millis(10));
@@ -133,16 +133,16 @@
         }
         co_await sendBytes(socket, "0\r\n\r\n");
     });
-    EntryRig rig(loop(), {});
-    listIn(rig, "m", {{"n", {"north", north.port}}});
+    EntryFixture fixture(loop(), {});
+    listIn(fixture, "m", {{"n", {"north", north.port}}});
     std::optional<http::CallResult<http::Reply>> answer;
-    loop().start(rig.send("POST", "/chat/1", EntryRig::caller("c1"), "{}"), answer);
-    loop().until([&] {
+    loop().start(fixture.send("POST", "/chat/1", EntryFixture::caller("c1"), "{}"), answer);
+    loop().runUntil([&] {
         return !north.seen.empty();
     });
-    rig.published.setEvacuated("north", true);
-    CHECK(!rig.table.acquire("m", {1, 1}, {}, Clock::now()));
-    loop().until([&] {
+    fixture.published.setEvacuated("north", true);
+    CHECK(!fixture.table.acquire("m", {1, 1}, {}, Clock::now()));
+    loop().runUntil([&] {
         return answer.has_value();
     });
     const auto *reply = std::get_if<http::Reply>(&*answer);
@@ -151,18 +151,18 @@
 
 TEST(Evacuation, RequestIsRejectedAtOnceWhenAllDomainsAreEvacuated)
 {
-    RawEndpoint north(loop(), answerOk);
-    EntryRig rig(loop(), {});
-    listIn(rig, "s", {{"n", {"north", north.port}}});
-    rig.published.setEvacuated("north", true);
+    ScriptedEndpoint north(loop(), answerOk);
+    EntryFixture fixture(loop(), {});
+    listIn(fixture, "s", {{"n", {"north", north.port}}});
+    fixture.published.setEvacuated("north", true);
     const auto began = Clock::now();
-    const auto reply = rig.reply("POST", "/book/1", "b1");
+    const auto reply = fixture.reply("POST", "/book/1", "b1");
     CHECK(Clock::now() - began < Millis(500));
     LONGS_EQUAL(503, reply.status);
     STRCMP_EQUAL("evacuated", reply.body.c_str());
     CHECK(north.seen.empty());
-    rig.published.setEvacuated("north", false);
-    LONGS_EQUAL(200, rig.reply("POST", "/book/1", "b2").status);
+    fixture.published.setEvacuated("north", false);
+    LONGS_EQUAL(200, fixture.reply("POST", "/book/1", "b2").status);
 }
 
 namespace
@@ -177,7 +177,7 @@
 public:
     ColdFleet(Loop &loop, std::size_t routers)
         : m_loop(loop)
-        , m_cold(loop, [this](tcp::socket &socket, const SeenRequest &request) {
+        , m_cold(loop, [this](tcp::socket &socket, const ReceivedRequest &request) {
             m_arrivals.push_back(Clock::now());
             return answerOk(socket, request);
         })
@@ -186,11 +186,11 @@
         configuration["services"][0]["cold_start_s"] = 3.0;
         configuration["services"][0]["cold_per_s"] = coldPerSecond;
         for (std::size_t n = 0; n < routers; ++n) {
-            m_routers.push_back(std::make_unique<EntryRig>(loop, std::map<std::string, std::pair<std::string, uint16_t>>{{"n", {"s", m_cold.port}}}));
+            m_routers.push_back(std::make_unique<EntryFixture>(loop, std::map<std::string, std::pair<std::string, uint16_t>>{{"n", {"s", m_cold.port}}}));
             m_routers.back()->configure(configuration);
         }
     }
-    EntryRig &operator[](std::size_t n)
+    EntryFixture &operator[](std::size_t n)
     {
         return *m_routers[n];
     }
@@ -210,7 +210,7 @@
     void becomeCold()
     {
         for (auto &router : m_routers) {
-            router->table.noteCold("n", Clock::now() + std::chrono::seconds(10));
+            router->table.recordCold("n", Clock::now() + std::chrono::seconds(10));
         }
     }
     // Sends consecutive requests to each router for the given time.
@@ -220,7 +220,7 @@
         for (std::size_t n = 0; n < m_routers.size(); ++n) {
             m_loop.start(callUntil(*m_routers[n], "r" + std::to_string(n), Clock::now() + duration), done[n]);
         }
-        m_loop.until([&] {
+        m_loop.runUntil([&] {
             return std::all_of(done.begin(), done.end(), [](const auto &d) {
                 return d.has_value();
             });
@@ -240,10 +240,10 @@
     std::size_t refused = 0;
 
 private:
-    Task<bool> callUntil(EntryRig &router, std::string name, Clock::time_point end)
+    Task<bool> callUntil(EntryFixture &router, std::string name, Clock::time_point end)
     {
         for (int n = 0; Clock::now() < end; ++n) {
-            const auto reply = co_await router.send("POST", "/book/1", EntryRig::caller(name + "-" + std::to_string(n)), "{}");
+            const auto reply = co_await router.send("POST", "/book/1", EntryFixture::caller(name + "-" + std::to_string(n)), "{}");
             const auto *answer = std::get_if<http::Reply>(&reply);
             refused += answer && answer->status == 503 && answer->body == "cold" ? 1 : 0;
             co_await sleepFor(Millis(5));
@@ -253,8 +253,8 @@
 
     Loop &m_loop;
     std::vector<Clock::time_point> m_arrivals;
-    RawEndpoint m_cold;
-    std::vector<std::unique_ptr<EntryRig>> m_routers;
+    ScriptedEndpoint m_cold;
+    std::vector<std::unique_ptr<EntryFixture>> m_routers;
 };
 
 } // namespace
--- a/tests/test_explain.cpp
+++ b/tests/test_explain.cpp
@@ -12,13 +12,13 @@
 
 using namespace yucca;
 
-TEST_GROUP(Explain){static explain::Timeline timelineOf(const std::string &id, const std::vector<std::string> &logs){explain::Reader reader(id);
+TEST_GROUP(Explain){static explain::Timeline timelineOf(const std::string &id, const std::vector<std::string> &logs){explain::TimelineBuilder builder(id);
 int n = 0;
 for (const auto &log : logs) {
     std::istringstream in(log);
-    reader.read(in, "router-" + std::to_string(++n));
+    builder.read(in, "router-" + std::to_string(++n));
 }
-return reader.finish();
+return builder.finish();
 }
 }
 ;
--- a/tests/test_foreign_entries.cpp
+++ b/tests/test_foreign_entries.cpp
@@ -1,15 +1,15 @@
 // The store may hold entries of other writers under the endpoints' kind. Such an
 // entry must not create an endpoint, must remove the endpoint whose valid entry it
 // replaces, and must not affect the entries of other endpoints.
-#include "answer_text.h"
 #include "codec.h"
-#include "entry_rig.h"
+#include "entry_fixture.h"
 #include "object_store.h"
+#include "response_parser.h"
 
 #include "loop_group.h"
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 using nlohmann::json;
 
 namespace
@@ -17,7 +17,7 @@
 
 json entryWith(const char *field, json value)
 {
-    auto entry = entryAt("127.0.0.1:80");
+    auto entry = endpointEntryAt("127.0.0.1:80");
     entry[field] = std::move(value);
     return entry;
 }
@@ -46,11 +46,11 @@
 
 TEST(ForeignEntries, ValidEntryGivesAnEndpoint)
 {
-    CHECK(isValidEntry(entryAt("127.0.0.1:80")));
+    CHECK(isValidEntry(endpointEntryAt("127.0.0.1:80")));
     auto leaving = entryWith("state", "draining");
     Findings findings;
     CHECK(platform::ObjectCodec::endpoint("i-1", leaving, findings)->state == EndpointState::Leaving);
-    LONGS_EQUAL(1796260000000, platform::ObjectCodec::endpoint("i-1", leaving, findings)->born);
+    LONGS_EQUAL(1796260000000, platform::ObjectCodec::endpoint("i-1", leaving, findings)->startedAtMs);
     leaving.erase("born"); // written by an endpoint version without that field
     CHECK(isValidEntry(leaving));
 }
@@ -58,7 +58,7 @@
 TEST(ForeignEntries, EntryWithAMissingFieldOrAWrongTypeIsRejected)
 {
     for (const char *field : {"service", "address", "zone", "version", "slots", "state", "cold_remaining_ms", "sequence"}) {
-        auto missing = entryAt("127.0.0.1:80");
+        auto missing = endpointEntryAt("127.0.0.1:80");
         missing.erase(field);
         CHECK_TEXT(!isValidEntry(missing), field);
         CHECK_TEXT(!isValidEntry(entryWith(field, json::array({1}))), field);
@@ -70,7 +70,7 @@
     CHECK(!isValidEntry(entryWith("born", "now")));
     CHECK(!isValidEntry(json::array()));
     CHECK(!isValidEntry(json("ready")));
-    CHECK(!isValidEntry(entryAt("127.0.0.1:80"), ""));
+    CHECK(!isValidEntry(endpointEntryAt("127.0.0.1:80"), ""));
 }
 
 TEST(ForeignEntries, EntryWithAnUnknownStateIsRejected)
@@ -82,13 +82,13 @@
 TEST(ForeignEntries, InvalidJsonInOneEntryLeavesTheOtherEntriesReadable)
 {
     for (const auto &spec : invalidSpecs) {
-        const std::string text = R"({"items":[)" + item("a", entryAt("127.0.0.1:1").dump()) + "," + item("b", spec) + " , " + item("c", "{\"x\":\"]}\\\"\"}")
-            + R"(],"store_revision":9})";
+        const std::string text = R"({"items":[)" + item("a", endpointEntryAt("127.0.0.1:1").dump()) + "," + item("b", spec) + " , "
+            + item("c", "{\"x\":\"]}\\\"\"}") + R"(],"store_revision":9})";
         const auto answer = platform::parseResponse(text);
         CHECK_TEXT(answer.is_object(), spec.c_str());
         LONGS_EQUAL(9, answer["store_revision"].get<int>());
         LONGS_EQUAL(3, answer["items"].size());
-        CHECK(answer["items"][0]["spec"] == entryAt("127.0.0.1:1"));
+        CHECK(answer["items"][0]["spec"] == endpointEntryAt("127.0.0.1:1"));
         CHECK(answer["items"][1]["spec"].is_null());
         CHECK(answer["items"][1]["metadata"]["name"] == "b");
         CHECK(answer["items"][2]["spec"]["x"] == "]}\"");
@@ -111,7 +111,7 @@
 struct ScriptedStore {
     explicit ScriptedStore(Loop &loop)
         : endpoint(loop,
-                   [this](tcp::socket &socket, const SeenRequest &) -> Task<void> {
+                   [this](tcp::socket &socket, const ReceivedRequest &) -> Task<void> {
                        std::string bytes = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(answer.size()) + "\r\n\r\n" + answer;
                        co_await sendBytes(socket, std::move(bytes));
                    })
@@ -119,7 +119,7 @@
     {
     }
     std::string answer;
-    RawEndpoint endpoint;
+    ScriptedEndpoint endpoint;
     platform::StoreClient client;
 };
 
@@ -151,13 +151,13 @@
         router::RoutingTable table;
         entry::Published published(table);
         entry::Control<platform::ObjectCodec> control(store.client, published);
-        const auto a = item("a", entryAt("127.0.0.1:1").dump());
-        const auto b = item("b", entryAt("127.0.0.1:2").dump());
+        const auto a = item("a", endpointEntryAt("127.0.0.1:1").dump());
+        const auto b = item("b", endpointEntryAt("127.0.0.1:2").dump());
         store.answer = listingResponse(a + "," + b + "," + item("c", spec));
         CHECK(loop().run(control.stepEndpoints()));
         CHECK((endpointIds(table) == std::vector<std::string>{"a", "b"}));
         // An invalid entry replaces the valid one of "a", and a later event adds "d".
-        const auto d = item("d", entryAt("127.0.0.1:4").dump());
+        const auto d = item("d", endpointEntryAt("127.0.0.1:4").dump());
         store.answer = R"({"events":[)" + watchEvent(item("a", spec)) + ",7," + watchEvent("null") + "," + watchEvent(d) + R"(],"store_revision":12})";
         CHECK(loop().run(control.stepEndpoints()));
         CHECK((endpointIds(table) == std::vector<std::string>{"b", "d"}));
@@ -174,8 +174,8 @@
     router::RoutingTable table;
     entry::Published published(table);
     entry::Control<platform::ObjectCodec> control(store.client, published);
-    const auto good = item("b", entryAt("127.0.0.1:2").dump());
-    store.answer = listingResponse(R"({"metadata":{"name":5,"revision":"x"},"spec":)" + entryAt("127.0.0.1:1").dump() + "},7,null," + good);
+    const auto good = item("b", endpointEntryAt("127.0.0.1:2").dump());
+    store.answer = listingResponse(R"({"metadata":{"name":5,"revision":"x"},"spec":)" + endpointEntryAt("127.0.0.1:1").dump() + "},7,null," + good);
     CHECK(loop().run(control.stepEndpoints()));
     CHECK((endpointIds(table) == std::vector<std::string>{"b"}));
 }
--- a/tests/test_http.cpp
+++ b/tests/test_http.cpp
@@ -1,11 +1,11 @@
 // The HTTP server must reject messages whose end two parsers could place
 // differently (RFC 9112): otherwise a caller could smuggle a request past the checks.
-#include "entry_rig.h"
+#include "entry_fixture.h"
 
 #include "loop_group.h"
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 
 namespace
 {
@@ -110,10 +110,10 @@
     CHECK(answer.find("200 OK") != std::string::npos);
 }
 
-TEST(StrictHttp, CallersAreAskedToLeaveBeforeAStop)
+TEST(StrictHttp, ResponsesCloseConnectionsBeforeAStop)
 {
     EchoServer echo(loop());
-    echo.server.askCallersToLeave();
+    echo.server.closeConnectionsAfterResponses();
     const auto answer = loop().run(sendAndReadAll(echo.port, "GET /a HTTP/1.1\r\nHost: a\r\n\r\n"));
     CHECK(answer.find("Connection: close") != std::string::npos);
     LONGS_EQUAL(1, echo.paths.size());
--- a/tests/test_idempotency.cpp
+++ b/tests/test_idempotency.cpp
@@ -161,7 +161,7 @@
     CHECK(attempt(first, svc, "k") == Decision::Run);
     store.restore(copy);
     CHECK(attempt(second, svc, "k") == Decision::NotRun);
-    runBlocking(first.restoreLost()); // the router that ran the call rewrites its record
+    runBlocking(first.rewriteLostRecords()); // the router that ran the call rewrites its record
     CHECK(attempt(second, svc, "k") != Decision::Run);
     LONGS_EQUAL(1, svc.runs);
     CHECK(store.get(idempotency::recordKind, idempotency::Guard::recordName("ws-0", "k")).index() == 0);
@@ -195,8 +195,8 @@
     const std::string name = idempotency::Guard::recordName("ws-0", "k");
     for (int round = 0; round < 2; ++round) {
         store.restore(copy);
-        runBlocking(api.answers(idempotency::recordKind));
-        runBlocking(g.restoreLost());
+        runBlocking(api.isReachable(idempotency::recordKind));
+        runBlocking(g.rewriteLostRecords());
         const auto held = store.get(idempotency::recordKind, name);
         CHECK(held.index() == 0);
         STRCMP_EQUAL("done", std::get<store::Object>(held).value.value("state", "").c_str());
--- a/tests/test_incarnation.cpp
+++ b/tests/test_incarnation.cpp
@@ -1,11 +1,11 @@
 // Tests of endpoints that restart under the same id. A restarted endpoint holds no state, so
 // nothing that was learned of its earlier incarnation may apply to it.
-#include "entry_rig.h"
+#include "entry_fixture.h"
 
 #include "loop_group.h"
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 
 namespace
 {
@@ -13,10 +13,10 @@
 constexpr int64_t firstStart = 1796260000000; // Unix time in ms
 constexpr int64_t secondStart = firstStart + 5000;
 
-Endpoint engine(const std::string &id, uint16_t port, int64_t born)
+Endpoint engine(const std::string &id, uint16_t port, int64_t startedAtMs)
 {
     auto e = endpointAt(id, port, "m", EndpointKind::Engine);
-    e.born = born;
+    e.startedAtMs = startedAtMs;
     return e;
 }
 
@@ -57,27 +57,27 @@
 TEST(Incarnation, LoadReportsAreDiscardedAtARestart)
 {
     list(firstStart);
-    table.reported("a", 40, now);
-    table.reported("b", 5, now);
+    table.recordLoadReport("a", 40, now);
+    table.recordLoadReport("b", 5, now);
     STRCMP_EQUAL("b", chosen().c_str());
     now += std::chrono::seconds(1);
     list(secondStart);
     STRCMP_EQUAL("a", chosen().c_str());
     CHECK(table.joinedAt("a") == now);
     CHECK(table.joinedAt("b") == Clock::time_point{});
-    LONGS_EQUAL(1, table.restarts());
+    LONGS_EQUAL(1, table.restartCount());
 }
 
 TEST(Incarnation, PeerReportOnTheEarlierIncarnationIsIgnored)
 {
     list(firstStart);
-    const auto heardAt = now;
+    const auto receivedAt = now;
     now += std::chrono::seconds(1);
     list(secondStart);
-    table.reported("b", 5, now);
-    table.toldOf({"a", 40, heardAt});
+    table.recordLoadReport("b", 5, now);
+    table.mergePeerReport({"a", 40, receivedAt});
     STRCMP_EQUAL("a", chosen().c_str());
-    table.toldOf({"a", 40, now}); // a report on the current incarnation
+    table.mergePeerReport({"a", 40, now}); // a report on the current incarnation
     STRCMP_EQUAL("b", chosen().c_str());
 }
 
@@ -86,7 +86,7 @@
     list(firstStart);
     table.eject("a", now + std::chrono::seconds(8));
     table.suspect("a", now);
-    table.reported("b", 5, now);
+    table.recordLoadReport("b", 5, now);
     STRCMP_EQUAL("b", chosen().c_str());
     list(secondStart);
     STRCMP_EQUAL("a", chosen().c_str());
@@ -95,18 +95,18 @@
 TEST(Incarnation, RequestOfTheEarlierIncarnationDoesNotChangeInflightCount)
 {
     list(firstStart);
-    table.reported("b", 50, now);
+    table.recordLoadReport("b", 50, now);
     const auto before = table.acquire("m", {1, 1}, {}, now);
     STRCMP_EQUAL("a", before->id.c_str());
     list(secondStart);
-    table.reported("b", 50, now);
+    table.recordLoadReport("b", 50, now);
     const auto after = table.acquire("m", {1, 1}, {}, now);
     STRCMP_EQUAL("a", after->id.c_str());
     table.release(*before, now);
     const auto status = table.status();
     LONGS_EQUAL(1, status[0]["inflight"].get<int>());
-    CHECK(!table.isCurrent(*before));
-    CHECK(table.isCurrent(*after));
+    CHECK(!table.isCurrentIncarnation(*before));
+    CHECK(table.isCurrentIncarnation(*after));
 }
 
 TEST(Incarnation, RestartedEndpointIsNotAHolderOfEarlierPrompts)
@@ -115,13 +115,13 @@
     const auto a = engine("a", 1, firstStart);
     const auto b = engine("b", 2, firstStart);
     const uint64_t prompt = promptWithHome("b"); // so that no other endpoint would be asked to fetch it from "a"
-    table.tookPrompt(prompt, a, now);
-    STRCMP_EQUAL("a", table.beliefOf(prompt, b, now).source->id.c_str());
+    table.recordPromptHolder(prompt, a, now);
+    STRCMP_EQUAL("a", table.estimatePrompt(prompt, b, now).source->id.c_str());
     now += std::chrono::seconds(1);
     list(secondStart);
-    CHECK(!table.beliefOf(prompt, b, now).source.has_value());
-    table.tookPrompt(prompt, a, now); // a late response of the earlier incarnation
-    CHECK(!table.beliefOf(prompt, b, now).source.has_value());
+    CHECK(!table.estimatePrompt(prompt, b, now).source.has_value());
+    table.recordPromptHolder(prompt, a, now); // a late response of the earlier incarnation
+    CHECK(!table.estimatePrompt(prompt, b, now).source.has_value());
 }
 
 LOOP_GROUP(IncarnationTraffic);
@@ -131,9 +131,9 @@
 
 // Sends events up to the one numbered last, then nothing more, and keeps the connection open: a
 // hung engine.
-RawEndpoint::Script hanging(int last)
+ScriptedEndpoint::Script hanging(int last)
 {
-    return [=](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
+    return [=](tcp::socket &socket, const ReceivedRequest &request) -> Task<void> {
         co_await sendBytes(socket, streamHead(request.header("Yuccasaddle-Attempt-Id")));
         for (int i = 1; i <= last; ++i) {
             co_await sendBytes(socket, chunk(eventNumber(i)));
@@ -144,9 +144,9 @@
     };
 }
 
-RawEndpoint::Script streaming(int last)
+ScriptedEndpoint::Script streaming(int last)
 {
-    return [=](tcp::socket &socket, const SeenRequest &request) -> Task<void> {
+    return [=](tcp::socket &socket, const ReceivedRequest &request) -> Task<void> {
         const std::string resume = request.header("Last-Event-Id");
         co_await sendBytes(socket, streamHead(request.header("Yuccasaddle-Attempt-Id")));
         for (int i = resume == "(none)" ? 1 : std::stoi(resume) + 1; i <= last; ++i) {
@@ -169,20 +169,20 @@
 
 TEST(IncarnationTraffic, StreamOfAHungEngineResumesElsewhereAfterItsRestart)
 {
-    RawEndpoint hung(loop(), hanging(2));
-    RawEndpoint healthy(loop(), streaming(4));
-    EntryRig rig(loop(), {});
-    rig.published.replaceEndpoints({{"a", engine("a", hung.port, firstStart)}});
+    ScriptedEndpoint hung(loop(), hanging(2));
+    ScriptedEndpoint healthy(loop(), streaming(4));
+    EntryFixture fixture(loop(), {});
+    fixture.published.replaceEndpoints({{"a", engine("a", hung.port, firstStart)}});
     std::optional<http::CallResult<http::Reply>> result;
-    asio::co_spawn(loop().io, rig.send("POST", "/chat/1", EntryRig::caller("q1"), ""), [&](std::exception_ptr, http::CallResult<http::Reply> r) {
+    asio::co_spawn(loop().io, fixture.send("POST", "/chat/1", EntryFixture::caller("q1"), ""), [&](std::exception_ptr, http::CallResult<http::Reply> r) {
         result = std::move(r);
     });
-    loop().until([&] {
+    loop().runUntil([&] {
         return !hung.seen.empty();
     });
-    rig.published.replaceEndpoints({{"a", engine("a", hung.port, secondStart)}, {"b", engine("b", healthy.port, firstStart)}});
-    rig.gateway.cancelAttemptsAtRestarted();
-    loop().until([&] {
+    fixture.published.replaceEndpoints({{"a", engine("a", hung.port, secondStart)}, {"b", engine("b", healthy.port, firstStart)}});
+    fixture.gateway.cancelAttemptsAtRestarted();
+    loop().runUntil([&] {
         return result.has_value();
     });
     CHECK(std::holds_alternative<http::Reply>(*result));
@@ -192,13 +192,13 @@
 
 TEST(IncarnationTraffic, KeepAliveConnectionsOfTheEarlierIncarnationAreNotReused)
 {
-    RawEndpoint a(loop(), streaming(1));
-    EntryRig rig(loop(), {});
-    rig.published.replaceEndpoints({{"a", engine("a", a.port, firstStart)}});
-    rig.reply("POST", "/chat/1", "q1");
-    rig.reply("POST", "/chat/1", "q2");
+    ScriptedEndpoint a(loop(), streaming(1));
+    EntryFixture fixture(loop(), {});
+    fixture.published.replaceEndpoints({{"a", engine("a", a.port, firstStart)}});
+    fixture.reply("POST", "/chat/1", "q1");
+    fixture.reply("POST", "/chat/1", "q2");
     LONGS_EQUAL(1, a.connections);
-    rig.published.replaceEndpoints({{"a", engine("a", a.port, secondStart)}});
-    rig.reply("POST", "/chat/1", "q3");
+    fixture.published.replaceEndpoints({{"a", engine("a", a.port, secondStart)}});
+    fixture.reply("POST", "/chat/1", "q3");
     LONGS_EQUAL(2, a.connections);
 }
--- a/tests/test_lease.cpp
+++ b/tests/test_lease.cpp
@@ -10,8 +10,8 @@
 #include <CppUTest/TestHarness.h>
 
 using namespace yucca;
-using orders::Ack;
 using orders::OrderResult;
+using orders::SendResult;
 
 namespace
 {
@@ -24,10 +24,10 @@
         : gate(checks)
     {
     }
-    Task<Ack> take(orders::Order order, uint64_t fence)
+    Task<SendResult> take(orders::Order order, uint64_t fence)
     {
         const bool admitted = ok(gate.admit({order.kind, order.argument, fence, ""}));
-        co_return admitted ? Ack::Applied : Ack::StaleFence;
+        co_return admitted ? SendResult::Applied : SendResult::StaleFence;
     }
     engine::FencingGate gate;
 };
@@ -181,7 +181,7 @@
     CHECK_FALSE(acquire(b));
     // a is frozen while it sends the order; b acquires the lease and tries to send the same order.
     OrderResult taken = OrderResult::Applied;
-    const orders::Sender frozen = [&](orders::Order order, uint64_t fence) -> Task<Ack> {
+    const orders::Sender frozen = [&](orders::Order order, uint64_t fence) -> Task<SendResult> {
         now += leaseDuration;
         CHECK(co_await b.acquireOrRenew());
         orders::Dispatcher dispatcher(api, b, "b", senderTo(engine), quarantine);
@@ -207,9 +207,9 @@
 {
     FakeEngine engine(false);
     CHECK(acquire(a));
-    const orders::Sender lossy = [&](orders::Order order, uint64_t fence) -> Task<Ack> {
+    const orders::Sender lossy = [&](orders::Order order, uint64_t fence) -> Task<SendResult> {
         co_await engine.take(order, fence);
-        co_return Ack::Unknown;
+        co_return SendResult::Unknown;
     };
     CHECK(dispatch(a, "a", lossy) == OrderResult::Pending);
     CHECK(dispatch(a, "a", lossy) == OrderResult::Pending);
--- a/tests/test_peers.cpp
+++ b/tests/test_peers.cpp
@@ -9,7 +9,7 @@
 #include <tuple>
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 
 namespace
 {
@@ -31,22 +31,22 @@
 
 } // namespace
 
-TEST_GROUP(LoadDigest)
+TEST_GROUP(LoadReportEncoding)
 {
     Clock::time_point now{std::chrono::hours(1)};
 };
 
-TEST(LoadDigest, DecodingAnEncodedDatagramReturnsTheReportsWithTheirAge)
+TEST(LoadReportEncoding, DecodingAnEncodedDatagramReturnsTheReportsWithTheirAge)
 {
     const std::vector<peers::LoadReport> reports{{"i-1", 12, now - Millis(250)}, {"i-2", 0, now - Millis(700)}};
     const auto later = now + std::chrono::seconds(9); // the receiver's clock differs
     const auto decoded = peers::decode(peers::encode({reports, {}, {}}, now), later);
     CHECK(ok(decoded));
     const std::vector<peers::LoadReport> expected{{"i-1", 12, later - Millis(250)}, {"i-2", 0, later - Millis(700)}};
-    CHECK(std::get<peers::Digest>(decoded).loads == expected);
+    CHECK(std::get<peers::PeerMessage>(decoded).loads == expected);
 }
 
-TEST(LoadDigest, WithTooManyReportsOnlyTheNewestAreEncodedInOnePacket)
+TEST(LoadReportEncoding, WithTooManyReportsOnlyTheNewestAreEncodedInOnePacket)
 {
     std::vector<peers::LoadReport> reports;
     for (int i = 0; i < 500; ++i) {
@@ -54,12 +54,12 @@
     }
     const auto datagram = peers::encode({reports, {}, {}}, now);
     CHECK(datagram.size() < 1472); // payload of an Ethernet frame
-    const auto decoded = std::get<peers::Digest>(peers::decode(datagram, now)).loads;
+    const auto decoded = std::get<peers::PeerMessage>(peers::decode(datagram, now)).loads;
     LONGS_EQUAL(peers::maxLoadReports, decoded.size());
     STRCMP_EQUAL("i-0123456789-0", decoded.front().endpoint.c_str());
 }
 
-TEST(LoadDigest, MalformedReportsAreRejected)
+TEST(LoadReportEncoding, MalformedReportsAreRejected)
 {
     using nlohmann::json;
     const std::vector<json> wrong{json(7),
@@ -82,12 +82,12 @@
     CHECK(!ok(peers::decode({}, now)));
 }
 
-TEST(LoadDigest, ConfirmationsAreDecodedWithTheirAgeAndMalformedOnesAreRejected)
+TEST(LoadReportEncoding, ConfirmationsAreDecodedWithTheirAgeAndMalformedOnesAreRejected)
 {
     using nlohmann::json;
     const replica::Confirmation confirmation{"k", 77, 0xfedcba9876543210u, now - Millis(400), 3};
     const auto later = now + std::chrono::seconds(9);
-    const auto decoded = std::get<peers::Digest>(peers::decode(peers::encode({{}, {}, {confirmation}}, now), later));
+    const auto decoded = std::get<peers::PeerMessage>(peers::decode(peers::encode({{}, {}, {confirmation}}, now), later));
     const std::vector<replica::Confirmation> expected{{"k", 77, 0xfedcba9876543210u, later - Millis(400), 3}};
     CHECK(decoded.confirmations == expected);
     const std::vector<json> wrong{
@@ -106,9 +106,9 @@
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
-    peers::Directory a(api, peerAt("a", "north", 1));
-    peers::Directory b(api, peerAt("b", "north", 2));
-    peers::Directory c(api, peerAt("c", "south", 3));
+    peers::PeerDirectory a(api, peerAt("a", "north", 1));
+    peers::PeerDirectory b(api, peerAt("b", "north", 2));
+    peers::PeerDirectory c(api, peerAt("c", "south", 3));
     for (auto *d : {&a, &b, &c, &a}) {
         CHECK(loop().run(d->refresh()));
     }
@@ -121,9 +121,9 @@
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
-    peers::Directory before(api, peerAt("a", "north", 1));
-    peers::Directory after(api, peerAt("a", "north", 9));
-    peers::Directory b(api, peerAt("b", "north", 2));
+    peers::PeerDirectory before(api, peerAt("a", "north", 1));
+    peers::PeerDirectory after(api, peerAt("a", "north", 9));
+    peers::PeerDirectory b(api, peerAt("b", "north", 2));
     CHECK(loop().run(before.refresh()));
     CHECK(loop().run(after.refresh()));
     CHECK(loop().run(b.refresh()));
@@ -134,8 +134,8 @@
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
-    peers::Directory a(api, peerAt("a", "north", 1));
-    peers::Directory b(api, peerAt("b", "north", 2));
+    peers::PeerDirectory a(api, peerAt("a", "north", 1));
+    peers::PeerDirectory b(api, peerAt("b", "north", 2));
     const auto copy = store.copy();
     CHECK(loop().run(a.refresh()));
     for (int round = 0; round < 2; ++round) {
@@ -150,8 +150,8 @@
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
-    peers::Directory a(api, peerAt("a", "north", 1));
-    peers::Directory b(api, peerAt("b", "north", 2));
+    peers::PeerDirectory a(api, peerAt("a", "north", 1));
+    peers::PeerDirectory b(api, peerAt("b", "north", 2));
     CHECK(loop().run(a.refresh()));
     CHECK(loop().run(b.refresh()));
     const auto forget = [&]() -> Task<bool> {
@@ -170,8 +170,8 @@
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
-    peers::Directory a(api, peerAt("a", "north", 1));
-    peers::Directory b(api, peerAt("b", "north", 2));
+    peers::PeerDirectory a(api, peerAt("a", "north", 1));
+    peers::PeerDirectory b(api, peerAt("b", "north", 2));
     CHECK(loop().run(a.refresh()));
     CHECK(loop().run(b.refresh()));
     api.outage = true;
@@ -185,8 +185,8 @@
 {
 
 /// A router "a" with two service endpoints, and an exchange that can hear a peer "b".
-struct ExchangeRig {
-    ExchangeRig()
+struct ExchangeFixture {
+    ExchangeFixture()
     {
         router::TableOptions options;
         options.servicePolicy = Policy::LeastLoaded;
@@ -221,18 +221,18 @@
     peers::LoadExchange c(api, peerAt("c", "north", 3), table, options);
     for (const auto &[id, domain, port] :
          {std::tuple("a", "north", 1), std::tuple("b", "north", 2), std::tuple("d", "north", 4), std::tuple("z", "south", 5)}) {
-        peers::Directory other(api, peerAt(id, domain, static_cast<uint16_t>(port)));
+        peers::PeerDirectory other(api, peerAt(id, domain, static_cast<uint16_t>(port)));
         CHECK(loop().run(other.refresh()));
     }
     const auto now = Clock::now();
     CHECK(loop().run(c.refreshPeers(now)));
     CHECK(!c.rank(now).has_value()); // no peer was heard yet
     const auto datagram = peers::encode({}, now);
-    c.take(datagram, {"127.0.0.1", 5}, now);
+    c.handleDatagram(datagram, {"127.0.0.1", 5}, now);
     CHECK(!c.rank(now).has_value()); // "z" is no neighbour
     const auto later = now + std::chrono::seconds(4);
-    c.take(datagram, {"127.0.0.1", 2}, later);
-    c.take(datagram, {"127.0.0.1", 4}, later);
+    c.handleDatagram(datagram, {"127.0.0.1", 2}, later);
+    c.handleDatagram(datagram, {"127.0.0.1", 4}, later);
     LONGS_EQUAL(1, *c.rank(later)); // "b" sorts before "c"; "a" has been silent since it was listed
     CHECK(!c.rank(later + Millis(2500)).has_value());
 }
@@ -257,88 +257,88 @@
             return exchange.rank(now);
         },
         none);
-    exchange.share({&held});
+    exchange.shareReplicas({&held});
     for (const auto &[id, domain, port] : {std::tuple("b", "north", 2), std::tuple("z", "south", 5)}) {
-        peers::Directory other(api, peerAt(id, domain, static_cast<uint16_t>(port)));
+        peers::PeerDirectory other(api, peerAt(id, domain, static_cast<uint16_t>(port)));
         CHECK(loop().run(other.refresh()));
     }
     const auto now = Clock::now();
     CHECK(loop().run(exchange.refreshPeers(now)));
     held.applyListing({9, {}, false}, store::Freshness::MayLag, now);
     const auto datagram = peers::encode({{}, {}, {{"k", 9, 0, now}}}, now);
-    exchange.take(datagram, {"127.0.0.1", 5}, now);
+    exchange.handleDatagram(datagram, {"127.0.0.1", 5}, now);
     CHECK(!held.isConfirmed());
-    exchange.take(datagram, {"127.0.0.1", 2}, now);
+    exchange.handleDatagram(datagram, {"127.0.0.1", 2}, now);
     CHECK(held.isConfirmed());
 }
 
 TEST(LoadExchange, ALoadReportedByAPeerChangesThePlacement)
 {
-    ExchangeRig rig;
-    peers::Directory b(rig.api, peerAt("b", "north", 2));
+    ExchangeFixture fixture;
+    peers::PeerDirectory b(fixture.api, peerAt("b", "north", 2));
     CHECK(loop().run(b.refresh()));
     const auto now = Clock::now();
-    CHECK(loop().run(rig.exchange->refreshPeers(now)));
-    const std::string busy = rig.pick(now);
-    rig.exchange->take(peers::encode({{{busy, 40, now}}, {}, {}}, now), addressOfB, now);
-    CHECK(rig.pick(now) != busy);
-    CHECK(rig.table->heardSince({}).empty()); // received loads are not forwarded
+    CHECK(loop().run(fixture.exchange->refreshPeers(now)));
+    const std::string busy = fixture.pick(now);
+    fixture.exchange->handleDatagram(peers::encode({{{busy, 40, now}}, {}, {}}, now), addressOfB, now);
+    CHECK(fixture.pick(now) != busy);
+    CHECK(fixture.table->reportsReceivedSince({}).empty()); // received loads are not forwarded
 }
 
 TEST(LoadExchange, AnOlderLoadReportDoesNotReplaceANewerOne)
 {
-    ExchangeRig rig;
-    peers::Directory b(rig.api, peerAt("b", "north", 2));
+    ExchangeFixture fixture;
+    peers::PeerDirectory b(fixture.api, peerAt("b", "north", 2));
     CHECK(loop().run(b.refresh()));
     const auto now = Clock::now();
-    CHECK(loop().run(rig.exchange->refreshPeers(now)));
-    rig.table->reported("e1", 40, now);
-    rig.table->reported("e2", 20, now);
-    rig.exchange->take(peers::encode({{{"e1", 0, now - Millis(500)}}, {}, {}}, now), addressOfB, now);
-    STRCMP_EQUAL("e2", rig.pick(now).c_str());
-    LONGS_EQUAL(2, rig.table->heardSince(now - Millis(1)).size());
-    LONGS_EQUAL(0, rig.table->heardSince(now).size());
+    CHECK(loop().run(fixture.exchange->refreshPeers(now)));
+    fixture.table->recordLoadReport("e1", 40, now);
+    fixture.table->recordLoadReport("e2", 20, now);
+    fixture.exchange->handleDatagram(peers::encode({{{"e1", 0, now - Millis(500)}}, {}, {}}, now), addressOfB, now);
+    STRCMP_EQUAL("e2", fixture.pick(now).c_str());
+    LONGS_EQUAL(2, fixture.table->reportsReceivedSince(now - Millis(1)).size());
+    LONGS_EQUAL(0, fixture.table->reportsReceivedSince(now).size());
 }
 
 TEST(LoadExchange, DatagramsFromUnlistedSendersAreIgnored)
 {
-    ExchangeRig rig;
+    ExchangeFixture fixture;
     const auto now = Clock::now();
-    CHECK(loop().run(rig.exchange->refreshPeers(now)));
-    const std::string first = rig.pick(now);
-    rig.exchange->take(peers::encode({{{first, 40, now}}, {}, {}}, now), addressOfB, now);
-    STRCMP_EQUAL(first.c_str(), rig.pick(now).c_str());
+    CHECK(loop().run(fixture.exchange->refreshPeers(now)));
+    const std::string first = fixture.pick(now);
+    fixture.exchange->handleDatagram(peers::encode({{{first, 40, now}}, {}, {}}, now), addressOfB, now);
+    STRCMP_EQUAL(first.c_str(), fixture.pick(now).c_str());
 }
 
 TEST(LoadExchange, AMalformedDatagramChangesNothing)
 {
-    ExchangeRig rig;
-    peers::Directory b(rig.api, peerAt("b", "north", 2));
+    ExchangeFixture fixture;
+    peers::PeerDirectory b(fixture.api, peerAt("b", "north", 2));
     CHECK(loop().run(b.refresh()));
     const auto now = Clock::now();
-    CHECK(loop().run(rig.exchange->refreshPeers(now)));
-    const std::string first = rig.pick(now);
+    CHECK(loop().run(fixture.exchange->refreshPeers(now)));
+    const std::string first = fixture.pick(now);
     auto datagram = peers::encode({{{first, 40, now}}, {}, {}}, now);
     datagram.pop_back();
-    rig.exchange->take(datagram, addressOfB, now);
-    STRCMP_EQUAL(first.c_str(), rig.pick(now).c_str());
+    fixture.exchange->handleDatagram(datagram, addressOfB, now);
+    STRCMP_EQUAL(first.c_str(), fixture.pick(now).c_str());
 }
 
 TEST(LoadExchange, TheEntryOfALongSilentRouterIsRemoved)
 {
-    ExchangeRig rig;
-    peers::Directory b(rig.api, peerAt("b", "north", 2));
+    ExchangeFixture fixture;
+    peers::PeerDirectory b(fixture.api, peerAt("b", "north", 2));
     CHECK(loop().run(b.refresh()));
     const auto now = Clock::now();
-    CHECK(loop().run(rig.exchange->refreshPeers(now)));
+    CHECK(loop().run(fixture.exchange->refreshPeers(now)));
     const auto listed = [&] {
-        return rig.store.list(peers::routerKind, "", 10).items.size();
+        return fixture.store.list(peers::routerKind, "", 10).items.size();
     };
-    CHECK(loop().run(rig.exchange->refreshPeers(now + std::chrono::minutes(9))));
+    CHECK(loop().run(fixture.exchange->refreshPeers(now + std::chrono::minutes(9))));
     LONGS_EQUAL(2, listed());
-    rig.exchange->take(peers::encode({}, now), addressOfB, now + std::chrono::minutes(9)); // the peer is running
-    CHECK(loop().run(rig.exchange->refreshPeers(now + std::chrono::minutes(11))));
+    fixture.exchange->handleDatagram(peers::encode({}, now), addressOfB, now + std::chrono::minutes(9)); // the peer is running
+    CHECK(loop().run(fixture.exchange->refreshPeers(now + std::chrono::minutes(11))));
     LONGS_EQUAL(2, listed());
-    CHECK(loop().run(rig.exchange->refreshPeers(now + std::chrono::minutes(20))));
+    CHECK(loop().run(fixture.exchange->refreshPeers(now + std::chrono::minutes(20))));
     LONGS_EQUAL(1, listed());
 }
--- a/tests/test_home.cpp
+++ b/tests/test_placement_decisions.cpp
@@ -1,5 +1,5 @@
 // Tests of router decisions that need no network: prompt homes, least load, prompt holders, and retries.
-#include "entry/come_back.h"
+#include "entry/retry_after.h"
 #include "entry/retry_policy.h"
 #include "prompt_holders.h"
 #include "yucca/placement.h"
@@ -62,12 +62,12 @@
         const auto other = (home + 3) % 10;
         wanted.holders = {policy.members()[home], policy.members()[other]};
         for (std::size_t m = 0; m < 10; ++m) {
-            policy.reported(m, 5, now);
+            policy.recordLoadReport(m, 5, now);
         }
-        policy.reported(home, 6, now);
-        policy.reported(other, 4, now);
+        policy.recordLoadReport(home, 6, now);
+        policy.recordLoadReport(other, 4, now);
         LONGS_EQUAL(other, *policy.pick(wanted, usable, now));
-        policy.reported(other, 7, now);
+        policy.recordLoadReport(other, 7, now);
         LONGS_EQUAL(home, *policy.pick(wanted, usable, now));
         wanted.holders = {policy.members()[home]};
         LONGS_EQUAL(home, *policy.pick(wanted, usable, now)); // another member would have to process the prompt
@@ -83,12 +83,12 @@
     policy.setIdleCount(10);
     const placement::Usable usable(20, true);
     for (std::size_t m = 0; m < 20; ++m) {
-        policy.reported(m, m == 0 ? 25 : 15, now); // the service's mean is about 10, so the bound is about 17
+        policy.recordLoadReport(m, m == 0 ? 25 : 15, now); // the service's mean is about 10, so the bound is about 17
     }
     auto wanted = prompt(1);
     wanted.holders = {policy.members()[0]};
     CHECK(*policy.pick(wanted, usable, now) != 0);
-    policy.reported(0, 16, now);
+    policy.recordLoadReport(0, 16, now);
     LONGS_EQUAL(0, *policy.pick(wanted, usable, now));
 }
 
@@ -101,9 +101,9 @@
     std::vector<int> load(10, 0);
     for (int i = 0; i < 100; ++i) {
         const auto m = *policy.pick(prompt(7), usable, now);
-        policy.placed(m, now);
+        policy.requestStarted(m, now);
         ++load[m];
-        policy.reported(m, load[m], now);
+        policy.recordLoadReport(m, load[m], now);
     }
     const double mean = 10;
     for (const int l : load) {
@@ -138,11 +138,11 @@
         for (std::size_t i = 0; i < running.size();) {
             auto &r = running[i];
             if (!r.reported && r.report <= now) {
-                policies[r.router].reported(r.member, load[r.member], now);
+                policies[r.router].recordLoadReport(r.member, load[r.member], now);
                 r.reported = true;
             }
             if (r.end <= now) {
-                policies[r.router].finished(r.member, now);
+                policies[r.router].requestFinished(r.member, now);
                 --load[r.member];
                 running[i] = running.back();
                 running.pop_back();
@@ -156,7 +156,7 @@
         const int router = static_cast<int>(random() % routers);
         const uint64_t key = random() % 5 == 0 ? 1 : 2 + random() % 270;
         const auto m = *policies[router].pick(prompt(key), usable, now);
-        policies[router].placed(m, now);
+        policies[router].requestStarted(m, now);
         ++load[m];
         ++placed;
         int total = 0;
@@ -180,12 +180,12 @@
     placement::LeastLoaded policy;
     policy.setMembers(names(3));
     const placement::Usable usable(3, true);
-    policy.reported(0, 6, now);
-    policy.reported(1, 0, now);
-    policy.reported(2, 6, now);
+    policy.recordLoadReport(0, 6, now);
+    policy.recordLoadReport(1, 0, now);
+    policy.recordLoadReport(2, 6, now);
     LONGS_EQUAL(1, *policy.pick(prompt(1), usable, now));
-    policy.placed(1, now);
-    policy.placed(1, now);
+    policy.requestStarted(1, now);
+    policy.requestStarted(1, now);
     LONGS_EQUAL(1, *policy.pick(prompt(1), usable, now));
     now += std::chrono::seconds(30); // the requests in the old reports have finished by now
     CHECK(*policy.pick(prompt(1), usable, now) != 1);
@@ -243,16 +243,16 @@
     for (const auto end : {AttemptEnd::EngineFailed, AttemptEnd::Broken, AttemptEnd::Silent}) {
         route.maxAttempts = 2;
         route.kind = entry::RequestKind::NonIdempotent;
-        CHECK(!entry::mayTryAgain(route, end, once));
+        CHECK(!entry::mayRetry(route, end, once));
         route.kind = entry::RequestKind::Idempotent;
-        CHECK(entry::mayTryAgain(route, end, once));
+        CHECK(entry::mayRetry(route, end, once));
         route.kind = entry::RequestKind::Stream;
         route.resumable = false;
-        CHECK(!entry::mayTryAgain(route, end, once));
+        CHECK(!entry::mayRetry(route, end, once));
         route.resumable = true;
-        CHECK(entry::mayTryAgain(route, end, once));
+        CHECK(entry::mayRetry(route, end, once));
         route.maxAttempts = 1;
-        CHECK(!entry::mayTryAgain(route, end, once));
+        CHECK(!entry::mayRetry(route, end, once));
     }
 }
 
@@ -261,20 +261,20 @@
     using entry::AttemptEnd;
     route.kind = entry::RequestKind::NonIdempotent;
     for (const auto end : {AttemptEnd::Unreached, AttemptEnd::NotExecuted}) {
-        CHECK(entry::mayTryAgain(route, end, {1, 0, 0}));
-        CHECK(!entry::mayTryAgain(route, end, {1 + entry::mostExtraSends, 0, 0}));
+        CHECK(entry::mayRetry(route, end, {1, 0, 0}));
+        CHECK(!entry::mayRetry(route, end, {1 + entry::maxExtraAttempts, 0, 0}));
     }
-    CHECK(!entry::mayTryAgain(route, AttemptEnd::Delivered, {1, 1, 0}));
-    CHECK(!entry::mayTryAgain(route, AttemptEnd::CallerGone, {1, 1, 0}));
+    CHECK(!entry::mayRetry(route, AttemptEnd::Delivered, {1, 1, 0}));
+    CHECK(!entry::mayRetry(route, AttemptEnd::CallerGone, {1, 1, 0}));
 }
 
 TEST_GROUP(ComeBack)
 {
     std::minstd_rand random{1};
-    entry::ComeBackOptions options;
+    entry::RetryAfterOptions options;
     Millis after(entry::Rejection why, Millis sinceStart = Millis(60000))
     {
-        return entry::comeBackAfter(why, sinceStart, options, random);
+        return entry::retryAfterFor(why, sinceStart, options, random);
     }
 };
 
--- a/tests/test_prefix.cpp
+++ b/tests/test_prefix.cpp
@@ -11,8 +11,8 @@
 {
     std::string a = "one two three four five six seven eight";
     std::string b = a + " nine ten eleven twelve";
-    auto ha = prefix::blockHashes(prefix::tokens(a), 4);
-    auto hb = prefix::blockHashes(prefix::tokens(b), 4);
+    auto ha = prefix::blockHashes(prefix::tokenize(a), 4);
+    auto hb = prefix::blockHashes(prefix::tokenize(b), 4);
     LONGS_EQUAL(2, ha.size());
     LONGS_EQUAL(3, hb.size());
     CHECK(ha[0] == hb[0] && ha[1] == hb[1]);
@@ -20,8 +20,8 @@
 
 TEST(Prefix, BlockHashDependsOnAllPrecedingTokens)
 {
-    auto ha = prefix::blockHashes(prefix::tokens("x two three four a b c d"), 4);
-    auto hb = prefix::blockHashes(prefix::tokens("y two three four a b c d"), 4);
+    auto ha = prefix::blockHashes(prefix::tokenize("x two three four a b c d"), 4);
+    auto hb = prefix::blockHashes(prefix::tokenize("y two three four a b c d"), 4);
     CHECK(ha[1] != hb[1]);
 }
 
@@ -32,9 +32,9 @@
     nlohmann::json turn2 = turn1;
     turn2.push_back({{"role", "assistant"}, {"content", "w1 w2"}});
     turn2.push_back({{"role", "user"}, {"content", "and the deposit?"}});
-    const auto first = prefix::affinity("ws", turn1);
-    const auto second = prefix::affinity("ws", turn2);
+    const auto first = prefix::affinityKeys("ws", turn1);
+    const auto second = prefix::affinityKeys("ws", turn2);
     CHECK(first.shared == second.shared);
     CHECK(first.conversation == second.conversation);
-    CHECK(prefix::affinity("other", turn1).shared != first.shared);
+    CHECK(prefix::affinityKeys("other", turn1).shared != first.shared);
 }
--- a/tests/test_prompt_holders.cpp
+++ b/tests/test_prompt_holders.cpp
@@ -6,7 +6,7 @@
 #include "loop_group.h"
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 
 namespace
 {
@@ -63,7 +63,7 @@
     const uint64_t prompt = promptWithHome(table, "d");
     table.setEndpoints(engines({"a", "b", "c"}), now);
     const auto held = pickedEndpoint(table, prompt, now);
-    table.tookPrompt(prompt, makeEngine(held), now);
+    table.recordPromptHolder(prompt, makeEngine(held), now);
     table.setEndpoints(engines({"a", "b", "c", "d"}), now);
     STRCMP_EQUAL(held.c_str(), pickedEndpoint(table, prompt, now).c_str());
     STRCMP_EQUAL("d", pickedEndpoint(table, prompt, now + std::chrono::seconds(31)).c_str()); // the holder entry has expired
@@ -73,15 +73,15 @@
 {
     table.setEndpoints(engines({"a", "b", "c", "d"}), now);
     const uint64_t prompt = promptWithHome(table, "a");
-    table.tookPrompt(prompt, makeEngine("a"), now);
-    table.tookPrompt(prompt, makeEngine("c"), now);
-    table.reported("a", 30, now);
+    table.recordPromptHolder(prompt, makeEngine("a"), now);
+    table.recordPromptHolder(prompt, makeEngine("c"), now);
+    table.recordLoadReport("a", 30, now);
     for (const char *id : {"b", "c", "d"}) {
-        table.reported(id, 2, now);
+        table.recordLoadReport(id, 2, now);
     }
     STRCMP_EQUAL("c", pickedEndpoint(table, prompt, now).c_str());
-    CHECK(table.beliefOf(prompt, makeEngine("c"), now).held);
-    STRCMP_EQUAL("c", table.beliefOf(prompt, makeEngine("b"), now).source->id.c_str());
+    CHECK(table.estimatePrompt(prompt, makeEngine("c"), now).held);
+    STRCMP_EQUAL("c", table.estimatePrompt(prompt, makeEngine("b"), now).source->id.c_str());
 }
 
 TEST(HolderPlacement, LeavingHomeIsSourceOfPrompt)
@@ -91,42 +91,42 @@
     auto listed = engines({"a", "b", "c"});
     listed[0].state = EndpointState::Leaving;
     table.setEndpoints(listed, now);
-    const auto taker = makeEngine(pickedEndpoint(table, prompt, now));
-    CHECK(taker.id != "a");
-    STRCMP_EQUAL("a", table.beliefOf(prompt, taker, now).source->id.c_str());
+    const auto receiver = makeEngine(pickedEndpoint(table, prompt, now));
+    CHECK(receiver.id != "a");
+    STRCMP_EQUAL("a", table.estimatePrompt(prompt, receiver, now).source->id.c_str());
 }
 
 TEST(HolderPlacement, PromptIsAnnouncedOnceAndAgainAfterInterval)
 {
     table.setEndpoints(engines({"a", "b"}), now);
-    table.tookPrompt(7, makeEngine("a"), now);
-    table.tookPrompt(7, makeEngine("a"), now + std::chrono::seconds(1));
-    table.toldOfPrompt({8, "b"}, now);
-    table.tookPrompt(8, makeEngine("b"), now + std::chrono::seconds(1)); // a peer has announced it already
-    table.toldOfPrompt({9, "nobody"}, now);
-    CHECK((table.takePromptNews(10) == std::vector<peers::PromptNews>{{7, "a"}}));
-    table.tookPrompt(7, makeEngine("a"), now + std::chrono::seconds(11));
-    LONGS_EQUAL(1, table.takePromptNews(10).size());
-    CHECK(table.takePromptNews(10).empty());
+    table.recordPromptHolder(7, makeEngine("a"), now);
+    table.recordPromptHolder(7, makeEngine("a"), now + std::chrono::seconds(1));
+    table.mergePeerPrompt({8, "b"}, now);
+    table.recordPromptHolder(8, makeEngine("b"), now + std::chrono::seconds(1)); // a peer has announced it already
+    table.mergePeerPrompt({9, "nobody"}, now);
+    CHECK((table.takePromptAnnouncements(10) == std::vector<peers::PromptAnnouncement>{{7, "a"}}));
+    table.recordPromptHolder(7, makeEngine("a"), now + std::chrono::seconds(11));
+    LONGS_EQUAL(1, table.takePromptAnnouncements(10).size());
+    CHECK(table.takePromptAnnouncements(10).empty());
 }
 
-TEST_GROUP(PromptDigest)
+TEST_GROUP(PromptEncoding)
 {
     Clock::time_point now{std::chrono::hours(1)};
 };
 
-TEST(PromptDigest, DecodedPromptsEqualEncodedOnes)
+TEST(PromptEncoding, DecodedPromptsEqualEncodedOnes)
 {
-    const std::vector<peers::PromptNews> prompts{{1, "i-1"}, {0xffffffffffffffffULL, "i-1"}, {3, "i-2"}};
-    const auto decoded = std::get<peers::Digest>(peers::decode(peers::encode({{{"i-1", 4, now}}, prompts, {}}, now), now));
+    const std::vector<peers::PromptAnnouncement> prompts{{1, "i-1"}, {0xffffffffffffffffULL, "i-1"}, {3, "i-2"}};
+    const auto decoded = std::get<peers::PeerMessage>(peers::decode(peers::encode({{{"i-1", 4, now}}, prompts, {}}, now), now));
     CHECK(decoded.prompts == prompts);
     LONGS_EQUAL(1, decoded.loads.size());
 }
 
-TEST(PromptDigest, FullDigestFitsOnePacket)
+TEST(PromptEncoding, FullMessageFitsOnePacket)
 {
     std::vector<peers::LoadReport> reports;
-    std::vector<peers::PromptNews> prompts;
+    std::vector<peers::PromptAnnouncement> prompts;
     for (uint64_t i = 0; i < 100; ++i) {
         const std::string id = "i-0123456789-" + std::to_string(i);
         reports.push_back({id, 50, now});
@@ -134,10 +134,10 @@
     }
     const auto datagram = peers::encode({reports, prompts, {}}, now);
     CHECK(datagram.size() < 1472); // payload limit of one Ethernet frame
-    LONGS_EQUAL(peers::mostPrompts, std::get<peers::Digest>(peers::decode(datagram, now)).prompts.size());
+    LONGS_EQUAL(peers::maxPrompts, std::get<peers::PeerMessage>(peers::decode(datagram, now)).prompts.size());
 }
 
-TEST(PromptDigest, MalformedDigestIsRejected)
+TEST(PromptEncoding, MalformedMessageIsRejected)
 {
     using nlohmann::json;
     for (const char *wrong : {R"([["i",[-1]]])", R"([["i",["1"]]])", R"([[1,[1]]])", R"([["i",{}]])",
@@ -156,14 +156,14 @@
     router::RoutingTable table(homePolicy());
     table.setEndpoints(engines({"a", "b", "c"}), now);
     // The other router is in another failure domain.
-    peers::Directory other(api, {"r2", "south", {"127.0.0.1", 2}, 0});
+    peers::PeerDirectory other(api, {"r2", "south", {"127.0.0.1", 2}, 0});
     CHECK(loop().run(other.refresh()));
     peers::LoadExchange exchange(api, {"r1", "north", {"127.0.0.1", 1}, 0}, table);
     CHECK(loop().run(exchange.refreshPeers(now)));
     const uint64_t prompt = promptWithHome(table, "a");
-    exchange.take(peers::encode({{}, {{prompt, "c"}}, {}}, now), {"127.0.0.1", 2}, now);
+    exchange.handleDatagram(peers::encode({{}, {{prompt, "c"}}, {}}, now), {"127.0.0.1", 2}, now);
     STRCMP_EQUAL("c", pickedEndpoint(table, prompt, now).c_str());
-    CHECK(table.takePromptNews(10).empty()); // announcements from peers are not forwarded
+    CHECK(table.takePromptAnnouncements(10).empty()); // announcements from peers are not forwarded
 }
 
 TEST(PromptsBetweenRouters, OnlyFirstLiveRouterByNameWritesSnapshot)
@@ -177,9 +177,9 @@
     for (auto *e : {&first, &second, &first}) {
         CHECK(loop().run(e->refreshPeers(now)));
     }
-    CHECK(first.firstByName(now));
-    CHECK(!second.firstByName(now));
-    CHECK(second.firstByName(now + std::chrono::seconds(11))); // the first router has been silent
+    CHECK(first.isFirstByName(now));
+    CHECK(!second.isFirstByName(now));
+    CHECK(second.isFirstByName(now + std::chrono::seconds(11))); // the first router has been silent
 }
 
 LOOP_GROUP(PromptSnapshot);
@@ -187,8 +187,8 @@
 namespace
 {
 
-struct SnapshotRig {
-    SnapshotRig()
+struct SnapshotFixture {
+    SnapshotFixture()
     {
         table.setEndpoints(engines({"a", "b", "c"}));
     }
@@ -211,11 +211,11 @@
 
 TEST(PromptSnapshot, StartingRouterLoadsHoldersFromSnapshot)
 {
-    SnapshotRig before;
+    SnapshotFixture before;
     const uint64_t prompt = promptWithHome(before.table, "a");
-    before.table.tookPrompt(prompt, makeEngine("b"), Clock::now());
-    before.table.tookPrompt(prompt, makeEngine("c"), Clock::now());
-    before.table.tookPrompt(0xfedcba9876543210ULL, makeEngine("a"), Clock::now());
+    before.table.recordPromptHolder(prompt, makeEngine("b"), Clock::now());
+    before.table.recordPromptHolder(prompt, makeEngine("c"), Clock::now());
+    before.table.recordPromptHolder(0xfedcba9876543210ULL, makeEngine("a"), Clock::now());
     auto written = before.snapshot();
     CHECK(loop().run(written.write()));
     router::RoutingTable after(homePolicy());
@@ -229,36 +229,36 @@
             return false;
         });
     CHECK(loop().run(read.read()));
-    CHECK(after.beliefOf(prompt, makeEngine("b"), Clock::now()).held);
-    CHECK(after.beliefOf(prompt, makeEngine("c"), Clock::now()).held);
-    CHECK(!after.beliefOf(prompt, makeEngine("d"), Clock::now()).held);
-    CHECK(after.takePromptNews(10).empty());
+    CHECK(after.estimatePrompt(prompt, makeEngine("b"), Clock::now()).held);
+    CHECK(after.estimatePrompt(prompt, makeEngine("c"), Clock::now()).held);
+    CHECK(!after.estimatePrompt(prompt, makeEngine("d"), Clock::now()).held);
+    CHECK(after.takePromptAnnouncements(10).empty());
     LONGS_EQUAL(2, after.knownPrompts(10, Clock::now()).size());
 }
 
 TEST(PromptSnapshot, MissingSnapshotCompletesReadAndStoreOutageFailsIt)
 {
-    SnapshotRig rig;
-    auto snapshot = rig.snapshot();
+    SnapshotFixture fixture;
+    auto snapshot = fixture.snapshot();
     CHECK(loop().run(snapshot.read()));
-    rig.api.outage = true;
+    fixture.api.outage = true;
     CHECK(!loop().run(snapshot.read()));
-    rig.table.tookPrompt(1, makeEngine("a"), Clock::now());
+    fixture.table.recordPromptHolder(1, makeEngine("a"), Clock::now());
     CHECK(!loop().run(snapshot.write()));
-    LONGS_EQUAL(0, rig.api.writes);
+    LONGS_EQUAL(0, fixture.api.writes);
 }
 
 TEST(PromptSnapshot, MalformedEntriesAreSkipped)
 {
     using nlohmann::json;
-    SnapshotRig rig;
-    auto snapshot = rig.snapshot();
+    SnapshotFixture fixture;
+    auto snapshot = fixture.snapshot();
     for (const auto &value : {json(7), json::array({1}), json{{"a", 5}}, json{{"a", {1, "xyz", "12g", "", nullptr}}}, json{{"nobody", {"1f"}}}}) {
-        rig.store.put(router::snapshotKind, router::snapshotName, value, std::nullopt);
+        fixture.store.put(router::snapshotKind, router::snapshotName, value, std::nullopt);
         CHECK(loop().run(snapshot.read()));
-        CHECK(rig.table.knownPrompts(10, Clock::now()).empty());
+        CHECK(fixture.table.knownPrompts(10, Clock::now()).empty());
     }
-    rig.store.put(router::snapshotKind, router::snapshotName, json{{"a", {"zz", "1f"}}}, std::nullopt);
+    fixture.store.put(router::snapshotKind, router::snapshotName, json{{"a", {"zz", "1f"}}}, std::nullopt);
     CHECK(loop().run(snapshot.read()));
-    CHECK(rig.table.beliefOf(0x1f, makeEngine("a"), Clock::now()).held);
+    CHECK(fixture.table.estimatePrompt(0x1f, makeEngine("a"), Clock::now()).held);
 }
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -11,7 +11,7 @@
 #include <algorithm>
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 using quarantine::RequestQuarantine;
 
 namespace
@@ -32,12 +32,12 @@
     {
         for (int i = 0; i < count; ++i) {
             now += std::chrono::seconds(1);
-            router.ended(content, first + static_cast<uint64_t>(i), now);
+            router.recordCrash(content, first + static_cast<uint64_t>(i), now);
         }
     }
     bool isQuarantined(uint64_t content)
     {
-        return q.heldUntil(content, now).has_value();
+        return q.quarantinedUntil(content, now).has_value();
     }
 };
 
@@ -45,19 +45,19 @@
 {
     crashEndpoints(q, harmful, 1, 2);
     CHECK(!isQuarantined(harmful));
-    q.ended(harmful, 2, now); // the same endpoint again, from another request that it was running
+    q.recordCrash(harmful, 2, now); // the same endpoint again, from another request that it was running
     CHECK(!isQuarantined(harmful));
     crashEndpoints(q, harmful, 3, 1);
     CHECK(isQuarantined(harmful));
     CHECK(!isQuarantined(harmless));
-    CHECK(*q.heldUntil(harmful, now) == now + q.options().quarantineDuration);
-    LONGS_EQUAL(1, q.heldCount(now));
+    CHECK(*q.quarantinedUntil(harmful, now) == now + q.options().quarantineDuration);
+    LONGS_EQUAL(1, q.quarantinedCount(now));
 }
 
 TEST(RequestQuarantine, CompleteAnswerClearsEarlierCrashes)
 {
     crashEndpoints(q, harmless, 1, 2);
-    q.answered(harmless, now);
+    q.recordCompleteResponse(harmless, now);
     CHECK(!q.find(harmless).has_value());
     now += q.options().answerGrace + Millis(1);
     crashEndpoints(q, harmless, 3, 2);
@@ -68,7 +68,7 @@
 // frequent content. That content must not be quarantined.
 TEST(RequestQuarantine, CrashesSoonAfterACompleteAnswerDoNotCount)
 {
-    q.answered(harmless, now);
+    q.recordCompleteResponse(harmless, now);
     crashEndpoints(q, harmless, 1, 9);
     CHECK(!isQuarantined(harmless));
     now += q.options().answerGrace;
@@ -92,15 +92,15 @@
         crashEndpoints(routers[i], harmful, 10 + i, 1);
     }
     for (auto &from : routers) {
-        const auto news = from.takeNews(16);
+        const auto updates = from.takeUpdates(16);
         for (auto &to : routers) {
-            for (const auto &record : news.records) {
-                to.told(record, now);
+            for (const auto &record : updates.records) {
+                to.merge(record, now);
             }
         }
     }
     for (auto &router : routers) {
-        CHECK(router.heldUntil(harmful, now).has_value());
+        CHECK(router.quarantinedUntil(harmful, now).has_value());
     }
 }
 
@@ -109,14 +109,14 @@
     crashEndpoints(q, harmless, 1, 1);
     crashEndpoints(q, harmful, 2, 2);
     for (int i = 0; i < q.options().sendsPerUpdate; ++i) {
-        const auto news = q.takeNews(1);
-        LONGS_EQUAL(1, news.records.size());
-        CHECK(news.records.front().content == harmful);
+        const auto updates = q.takeUpdates(1);
+        LONGS_EQUAL(1, updates.records.size());
+        CHECK(updates.records.front().content == harmful);
     }
-    CHECK(q.takeNews(1).records.front().content == harmless);
+    CHECK(q.takeUpdates(1).records.front().content == harmless);
     const auto known = *q.find(harmful);
-    q.told(known, now); // adds nothing
-    const auto later = q.takeNews(16);
+    q.merge(known, now); // adds nothing
+    const auto later = q.takeUpdates(16);
     CHECK(std::none_of(later.records.begin(), later.records.end(), [](const auto &r) {
         return r.content == harmful;
     }));
@@ -127,35 +127,35 @@
     RequestQuarantine other;
     crashEndpoints(q, harmless, 1, 3);
     CHECK(isQuarantined(harmless));
-    other.answered(harmless, now);
-    other.told(q.takeNews(16).records.front(), now);
-    CHECK(!other.heldUntil(harmless, now).has_value());
-    const auto news = other.takeNews(16);
-    LONGS_EQUAL(1, news.answers.size());
-    q.told(news.answers.front());
+    other.recordCompleteResponse(harmless, now);
+    other.merge(q.takeUpdates(16).records.front(), now);
+    CHECK(!other.quarantinedUntil(harmless, now).has_value());
+    const auto updates = other.takeUpdates(16);
+    LONGS_EQUAL(1, updates.answers.size());
+    q.merge(updates.answers.front());
     CHECK(!isQuarantined(harmless));
-    LONGS_EQUAL(1, q.takeNews(16).answers.size()); // the answer is forwarded
+    LONGS_EQUAL(1, q.takeUpdates(16).answers.size()); // the answer is forwarded
 }
 
 // The crash of an endpoint behind a proxy shows only when its store entry
 // expires, seconds later. A frequent request must not reach more endpoints meanwhile.
 TEST(RequestQuarantine, BrokenAnswerCountsUntilItIsExplainedOrExpires)
 {
-    q.broke(harmful, 1, now);
-    q.broke(harmful, 1, now);
+    q.recordBrokenResponse(harmful, 1, now);
+    q.recordBrokenResponse(harmful, 1, now);
     crashEndpoints(q, harmful, 2, 1);
     CHECK(!isQuarantined(harmful));
-    q.broke(harmful, 3, now);
+    q.recordBrokenResponse(harmful, 3, now);
     CHECK(isQuarantined(harmful));
-    q.lives(harmful, 3);
+    q.recordAlive(harmful, 3);
     CHECK(!isQuarantined(harmful));
-    q.broke(harmful, 3, now);
+    q.recordBrokenResponse(harmful, 3, now);
     now += q.options().suspicionTimeout;
     CHECK(!isQuarantined(harmful)); // bounds the wait of a content that crashed nothing
-    q.broke(harmless, 1, now);
-    q.answered(harmless, now);
-    q.broke(harmless, 2, now);
-    q.broke(harmless, 3, now);
+    q.recordBrokenResponse(harmless, 1, now);
+    q.recordCompleteResponse(harmless, now);
+    q.recordBrokenResponse(harmless, 2, now);
+    q.recordBrokenResponse(harmless, 3, now);
     CHECK(!isQuarantined(harmless));
 }
 
@@ -163,60 +163,60 @@
 {
     RequestQuarantine other;
     for (uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
-        CHECK(other.takeNews(16).suspicions.empty()); // only the router that saw a suspicion sends it
-        q.broke(harmful, endpoint, now);
-        for (const auto &suspicion : q.takeNews(16).suspicions) {
-            other.told(suspicion, now);
+        CHECK(other.takeUpdates(16).suspicions.empty()); // only the router that saw a suspicion sends it
+        q.recordBrokenResponse(harmful, endpoint, now);
+        for (const auto &suspicion : q.takeUpdates(16).suspicions) {
+            other.merge(suspicion, now);
         }
     }
-    CHECK(other.heldUntil(harmful, now).has_value());
-    CHECK(!other.heldUntil(harmful, now + q.options().suspicionTimeout));
+    CHECK(other.quarantinedUntil(harmful, now).has_value());
+    CHECK(!other.quarantinedUntil(harmful, now + q.options().suspicionTimeout));
     // With the third suspicion, the counting router sends all three to all routers.
-    const auto news = other.takeNews(16);
-    LONGS_EQUAL(3, news.suspicions.size());
-    CHECK(news.urgent.count(harmful));
-    CHECK(other.takeNews(16).suspicions.empty());
-    CHECK(other.takeNews(16).urgent.empty());
+    const auto updates = other.takeUpdates(16);
+    LONGS_EQUAL(3, updates.suspicions.size());
+    CHECK(updates.urgent.count(harmful));
+    CHECK(other.takeUpdates(16).suspicions.empty());
+    CHECK(other.takeUpdates(16).urgent.empty());
 }
 
 TEST(RequestQuarantine, OneCrashAndTwoSuspicionsAreSentToAllRouters)
 {
     RequestQuarantine counter;
-    counter.told(quarantine::Record{harmful, {1}, now}, now);
-    counter.takeNews(16);
-    counter.takeNews(16);
-    counter.takeNews(16);
-    counter.told(quarantine::Suspicion{harmful, 2, now}, now);
-    CHECK(counter.takeNews(16).urgent.empty());
-    counter.told(quarantine::Suspicion{harmful, 3, now}, now);
-    const auto news = counter.takeNews(16);
-    LONGS_EQUAL(1, news.records.size());
-    LONGS_EQUAL(2, news.suspicions.size());
-    CHECK(news.urgent.count(harmful));
+    counter.merge(quarantine::CrashRecord{harmful, {1}, now}, now);
+    counter.takeUpdates(16);
+    counter.takeUpdates(16);
+    counter.takeUpdates(16);
+    counter.merge(quarantine::Suspicion{harmful, 2, now}, now);
+    CHECK(counter.takeUpdates(16).urgent.empty());
+    counter.merge(quarantine::Suspicion{harmful, 3, now}, now);
+    const auto updates = counter.takeUpdates(16);
+    LONGS_EQUAL(1, updates.records.size());
+    LONGS_EQUAL(2, updates.suspicions.size());
+    CHECK(updates.urgent.count(harmful));
 }
 
 TEST(RequestQuarantine, RouterThatSawACompleteAnswerRejectsSuspicions)
 {
-    q.answered(harmless, now);
-    q.told(quarantine::Suspicion{harmless, 1, now}, now);
-    const auto news = q.takeNews(16);
-    LONGS_EQUAL(1, news.answers.size());
-    CHECK(news.suspicions.empty());
+    q.recordCompleteResponse(harmless, now);
+    q.merge(quarantine::Suspicion{harmless, 1, now}, now);
+    const auto updates = q.takeUpdates(16);
+    LONGS_EQUAL(1, updates.answers.size());
+    CHECK(updates.suspicions.empty());
 }
 
 TEST(RequestQuarantine, UpdatesForAllRoutersAreSignalledAtOnce)
 {
     int urgent = 0;
-    q.onNews = [&urgent] {
+    q.onUrgentUpdate = [&urgent] {
         ++urgent;
     };
-    q.broke(harmful, 1, now);
-    q.ended(harmful, 1, now);
+    q.recordBrokenResponse(harmful, 1, now);
+    q.recordCrash(harmful, 1, now);
     LONGS_EQUAL(0, urgent); // a single crash implicates everything that the endpoint was running
-    q.broke(harmful, 2, now);
-    q.ended(harmful, 2, now);
+    q.recordBrokenResponse(harmful, 2, now);
+    q.recordCrash(harmful, 2, now);
     LONGS_EQUAL(1, urgent);
-    q.broke(harmful, 3, now);
+    q.recordBrokenResponse(harmful, 3, now);
     LONGS_EQUAL(2, urgent);
 }
 
@@ -226,24 +226,24 @@
     options.maxSuspectedRequests = 100;
     RequestQuarantine small(options);
     for (uint64_t content = 0; content < 1000; ++content) {
-        small.broke(content, 1, now);
+        small.recordBrokenResponse(content, 1, now);
     }
-    CHECK(small.takeNews(1000).suspicions.size() <= options.maxQueuedSuspicions);
+    CHECK(small.takeUpdates(1000).suspicions.size() <= options.maxQueuedSuspicions);
     for (uint64_t endpoint = 1; endpoint <= 3; ++endpoint) {
-        small.broke(harmful, endpoint, now);
+        small.recordBrokenResponse(harmful, endpoint, now);
     }
-    CHECK(small.heldUntil(harmful, now).has_value());
+    CHECK(small.quarantinedUntil(harmful, now).has_value());
 }
 
 TEST(RequestQuarantine, RouterThatMergesCrashesSavesTheRecord)
 {
     crashEndpoints(q, harmful, 1, 1);
     CHECK(q.takeUnsaved().empty()); // a single crash is not saved
-    q.told(quarantine::Record{harmful, {9}, now}, now);
+    q.merge(quarantine::CrashRecord{harmful, {9}, now}, now);
     CHECK(q.takeUnsaved() == std::vector<uint64_t>{harmful});
-    q.told(quarantine::Record{harmful, {1, 9, 10}, now}, now);
+    q.merge(quarantine::CrashRecord{harmful, {1, 9, 10}, now}, now);
     CHECK(q.takeUnsaved().empty()); // the sender of a complete record has saved it
-    q.answered(harmful, now);
+    q.recordCompleteResponse(harmful, now);
     CHECK(q.takeUnsaved() == std::vector<uint64_t>{harmful}); // its stored record must be removed
 }
 
@@ -255,7 +255,7 @@
     crashEndpoints(q, 6, 1, 1);
     std::vector<uint64_t> returned;
     for (int i = 0; i < 5; ++i) {
-        for (const auto &record : q.someHeld(2, now)) {
+        for (const auto &record : q.nextQuarantined(2, now)) {
             returned.push_back(record.content);
         }
     }
@@ -271,8 +271,8 @@
     for (uint64_t content = 10000; content < 10500; ++content) {
         crashEndpoints(small, content, 50, 1);
     }
-    CHECK(small.heldUntil(harmful, now).has_value());
-    LONGS_EQUAL(1, small.heldCount(now));
+    CHECK(small.quarantinedUntil(harmful, now).has_value());
+    LONGS_EQUAL(1, small.quarantinedCount(now));
     CHECK(!small.find(10000).has_value());
     CHECK(small.find(10499).has_value());
 }
@@ -283,43 +283,43 @@
     options.maxAnswers = 100;
     RequestQuarantine small(options);
     for (uint64_t content = 0; content < 1000; ++content) {
-        small.answered(content, now);
+        small.recordCompleteResponse(content, now);
     }
     crashEndpoints(small, 999, 1, 3);
-    CHECK(!small.heldUntil(999, now).has_value());
+    CHECK(!small.quarantinedUntil(999, now).has_value());
 }
 
-TEST_GROUP(EndingsDigest)
+TEST_GROUP(CrashRecordEncoding)
 {
     Clock::time_point now{std::chrono::hours(30)};
 };
 
-TEST(EndingsDigest, DecodedCrashesAndAnswersKeepTheirAge)
+TEST(CrashRecordEncoding, DecodedCrashesAndAnswersKeepTheirAge)
 {
-    peers::Digest digest;
-    digest.endings = {{0xfedcba9876543210u, {1, 2, 0xffffffffffffffffu}, now - std::chrono::hours(2)}, {1, {5}, now}};
-    digest.suspicions = {{8, 0xfedcba9876543210u, now - Millis(30)}};
-    digest.answers = {{9, now - Millis(70)}};
+    peers::PeerMessage message;
+    message.crashes = {{0xfedcba9876543210u, {1, 2, 0xffffffffffffffffu}, now - std::chrono::hours(2)}, {1, {5}, now}};
+    message.suspicions = {{8, 0xfedcba9876543210u, now - Millis(30)}};
+    message.answers = {{9, now - Millis(70)}};
     const auto later = now + std::chrono::hours(9); // the receiver's clock differs
-    const auto decoded = std::get<peers::Digest>(peers::decode(peers::encode(digest, now), later));
-    const std::vector<quarantine::Record> expected{{0xfedcba9876543210u, {1, 2, 0xffffffffffffffffu}, later - std::chrono::hours(2)}, {1, {5}, later}};
-    CHECK(decoded.endings == expected);
+    const auto decoded = std::get<peers::PeerMessage>(peers::decode(peers::encode(message, now), later));
+    const std::vector<quarantine::CrashRecord> expected{{0xfedcba9876543210u, {1, 2, 0xffffffffffffffffu}, later - std::chrono::hours(2)}, {1, {5}, later}};
+    CHECK(decoded.crashes == expected);
     CHECK(decoded.suspicions == (std::vector<quarantine::Suspicion>{{8, 0xfedcba9876543210u, later - Millis(30)}}));
-    CHECK(decoded.answers == (std::vector<quarantine::Answer>{{9, later - Millis(70)}}));
+    CHECK(decoded.answers == (std::vector<quarantine::CompleteResponse>{{9, later - Millis(70)}}));
 }
 
-TEST(EndingsDigest, FullDatagramFitsOnePacketAndMalformedOnesAreRejected)
+TEST(CrashRecordEncoding, FullDatagramFitsOnePacketAndMalformedOnesAreRejected)
 {
     using nlohmann::json;
-    peers::Digest digest;
-    for (uint64_t i = 0; i < peers::mostEndings; ++i) {
+    peers::PeerMessage message;
+    for (uint64_t i = 0; i < peers::maxCrashRecords; ++i) {
         const uint64_t large = ~i;
-        digest.endings.push_back({large, {large - 5, large - 4, large - 3, large - 2}, now - std::chrono::hours(20)});
-        std::sort(digest.endings.back().endpoints.begin(), digest.endings.back().endpoints.end());
-        digest.suspicions.push_back({large, large, now});
-        digest.answers.push_back({large, now});
+        message.crashes.push_back({large, {large - 5, large - 4, large - 3, large - 2}, now - std::chrono::hours(20)});
+        std::sort(message.crashes.back().endpoints.begin(), message.crashes.back().endpoints.end());
+        message.suspicions.push_back({large, large, now});
+        message.answers.push_back({large, now});
     }
-    const auto datagram = peers::encode(digest, now);
+    const auto datagram = peers::encode(message, now);
     CHECK(datagram.size() < 1472);
     CHECK(ok(peers::decode(datagram, now)));
     const std::vector<json> wrong{json::parse("[[1,[],5]]"),
@@ -332,7 +332,7 @@
                                   json::parse("[[1,99999999999]]"),
                                   json::parse("[[1,2,-5]]"),
                                   json::parse("[[1,2,99999999]]"),
-                                  json(std::vector<json>(peers::mostEndings + 1, json::parse("[1,[2],5]")))};
+                                  json(std::vector<json>(peers::maxCrashRecords + 1, json::parse("[1,[2],5]")))};
     for (const auto &w : wrong) {
         CHECK(!ok(peers::decode(json::to_cbor(w), now)));
     }
@@ -363,7 +363,7 @@
         for (auto &router : routers) {
             router.exchange->stop();
         }
-        m_loop.until([this] {
+        m_loop.runUntil([this] {
             return m_tasks == 0;
         });
     }
@@ -385,12 +385,12 @@
         router.quarantine = std::make_unique<RequestQuarantine>();
         const peers::Peer self{"router-" + std::to_string(n), "domain-" + std::to_string(n % 4), {"127.0.0.1", portOf(n)}, 0};
         peers::ExchangeOptions options;
-        options.every = Millis(20);
-        options.newsAfter = Millis(5);
+        options.roundInterval = Millis(20);
+        options.minRoundInterval = Millis(5);
         router.exchange = std::make_unique<peers::LoadExchange>(api, self, m_table, options);
-        router.exchange->share(*router.quarantine);
-        run(router.exchange->tell());
-        run(router.exchange->hear());
+        router.exchange->shareQuarantine(*router.quarantine);
+        run(router.exchange->runSender());
+        run(router.exchange->runReceiver());
         m_loop.run(router.exchange->refreshPeers(Clock::now()));
     }
 
@@ -399,10 +399,10 @@
     {
         const auto until = Clock::now() + std::chrono::seconds(20);
         bool all = false;
-        m_loop.until([&] {
+        m_loop.runUntil([&] {
             all = true;
             for (std::size_t n = 0; n < routers.size(); ++n) {
-                all = all && (n == except || routers[n].quarantine->heldUntil(content, Clock::now()));
+                all = all && (n == except || routers[n].quarantine->quarantinedUntil(content, Clock::now()));
             }
             return all || Clock::now() > until;
         });
@@ -452,14 +452,14 @@
 
 } // namespace
 
-LOOP_GROUP(EndingsInAFleet);
+LOOP_GROUP(QuarantineGossip);
 
-TEST(EndingsInAFleet, CrashesSeenByDifferentRoutersQuarantineTheContentEverywhere)
+TEST(QuarantineGossip, CrashesSeenByDifferentRoutersQuarantineTheContentEverywhere)
 {
     for (const std::size_t size : {2, 9, 60}) {
         GossipFleet fleet(loop(), size);
         for (std::size_t i = 0; i < 3; ++i) {
-            fleet.routers[(7 * i) % size].quarantine->ended(harmful, 100 + i, Clock::now());
+            fleet.routers[(7 * i) % size].quarantine->recordCrash(harmful, 100 + i, Clock::now());
             fleet.letUpdatesSpread();
         }
         CHECK(fleet.allQuarantine(harmful));
@@ -468,25 +468,25 @@
 
 // A proxy accepts connections for an endpoint that has crashed, so that for
 // seconds only suspicions are known, each at another router.
-TEST(EndingsInAFleet, SuspicionsSeenByDifferentRoutersQuarantineTheContentEverywhere)
+TEST(QuarantineGossip, SuspicionsSeenByDifferentRoutersQuarantineTheContentEverywhere)
 {
     for (const std::size_t size : {9, 40, 60}) {
         GossipFleet fleet(loop(), size);
         for (std::size_t i = 0; i < 3; ++i) {
-            fleet.routers[(7 * i) % size].quarantine->broke(harmful, 100 + i, Clock::now());
+            fleet.routers[(7 * i) % size].quarantine->recordBrokenResponse(harmful, 100 + i, Clock::now());
             fleet.letUpdatesSpread();
         }
         CHECK(fleet.allQuarantine(harmful));
     }
 }
 
-TEST(EndingsInAFleet, CrashesAreKeptWhenTheRoutersThatSawThemAreReplaced)
+TEST(QuarantineGossip, CrashesAreKeptWhenTheRoutersThatSawThemAreReplaced)
 {
     for (const std::size_t size : {3, 9, 40}) {
         GossipFleet fleet(loop(), size);
         for (std::size_t i = 0; i < 3; ++i) {
             const std::size_t witness = (5 * i) % size;
-            fleet.routers[witness].quarantine->ended(harmful, 100 + i, Clock::now());
+            fleet.routers[witness].quarantine->recordCrash(harmful, 100 + i, Clock::now());
             fleet.letUpdatesSpread();
             fleet.start(witness);
             fleet.letUpdatesSpread();
@@ -495,11 +495,11 @@
     }
 }
 
-TEST(EndingsInAFleet, ReplacedRouterLearnsTheQuarantineFromOthers)
+TEST(QuarantineGossip, ReplacedRouterLearnsTheQuarantineFromOthers)
 {
     GossipFleet fleet(loop(), 9);
     for (std::size_t i = 0; i < 3; ++i) {
-        fleet.routers[i].quarantine->ended(harmful, 100 + i, Clock::now());
+        fleet.routers[i].quarantine->recordCrash(harmful, 100 + i, Clock::now());
     }
     CHECK(fleet.allQuarantine(harmful));
     fleet.letUpdatesSpread(); // the updates have been sent
@@ -528,7 +528,7 @@
     void crashEndpoints(uint64_t first, int count)
     {
         for (int i = 0; i < count; ++i) {
-            quarantine.ended(harmful, first + static_cast<uint64_t>(i), Clock::now());
+            quarantine.recordCrash(harmful, first + static_cast<uint64_t>(i), Clock::now());
         }
     }
     void saveAll(Loop &loop)
@@ -539,7 +539,7 @@
     }
     bool isQuarantined() const
     {
-        return quarantine.heldUntil(harmful, Clock::now()).has_value();
+        return quarantine.quarantinedUntil(harmful, Clock::now()).has_value();
     }
     RequestQuarantine quarantine;
     quarantine::QuarantineStore persistence;
@@ -609,11 +609,11 @@
     CHECK(loop().run(later()));
     LONGS_EQUAL(0, store.list(quarantine::recordKind, "", 10).items.size());
     api.outage = false;
-    loop().until([&] {
+    loop().runUntil([&] {
         return !store.list(quarantine::recordKind, "", 10).items.empty();
     });
     a.persistence.stop();
-    loop().until([&] {
+    loop().runUntil([&] {
         return ended.has_value();
     });
     StoredRouter b(api);
@@ -647,7 +647,7 @@
     StoredRouter a(api);
     a.crashEndpoints(1, 3);
     a.saveAll(loop());
-    a.quarantine.answered(harmful, Clock::now());
+    a.quarantine.recordCompleteResponse(harmful, Clock::now());
     a.saveAll(loop());
     LONGS_EQUAL(0, store.list(quarantine::recordKind, "", 10).items.size());
 }
@@ -660,7 +660,7 @@
     a.crashEndpoints(1, 3);
     a.saveAll(loop());
     const auto name = store.list(quarantine::recordKind, "", 10).items.front().name;
-    store.put(quarantine::recordKind, name, quarantine::releaseBy("ops", "mended in the engine"), std::nullopt);
+    store.put(quarantine::recordKind, name, quarantine::makeReleaseRecord("ops", "mended in the engine"), std::nullopt);
     CHECK(loop().run(a.persistence.load()));
     CHECK(!a.isQuarantined());
 }
@@ -682,7 +682,7 @@
     StoredRouter a(api, true);
     CHECK(loop().run(a.persistence.load()));
     LONGS_EQUAL(6, store.list(quarantine::recordKind, "", 10).items.size());
-    LONGS_EQUAL(0, a.quarantine.heldCount(Clock::now()));
+    LONGS_EQUAL(0, a.quarantine.quarantinedCount(Clock::now()));
 }
 
 TEST(QuarantineStore, OnlyTheSweeperRemovesExpiredRecords)
@@ -699,11 +699,11 @@
     LONGS_EQUAL(0, store.list(quarantine::recordKind, "", 10).items.size());
 }
 
-LOOP_GROUP(OrderThatEndsEngines);
+LOOP_GROUP(OrderQuarantine);
 
 // An order to load a model that crashes engines must not reach one engine of the
 // pool after the other: crashes are counted per order, not per engine.
-TEST(OrderThatEndsEngines, OrderIsNotSentToTheWholePool)
+TEST(OrderQuarantine, OrderIsNotSentToTheWholePool)
 {
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
@@ -711,14 +711,14 @@
     CHECK(loop().run(lease.acquireOrRenew()));
     RequestQuarantine quarantine;
     int sent = 0;
-    const orders::Sender crashingSender = [&](orders::Order order, uint64_t) -> Task<orders::Ack> {
+    const orders::Sender crashingSender = [&](orders::Order order, uint64_t) -> Task<orders::SendResult> {
         ++sent;
-        co_return order.argument == "counsel-v3" ? orders::Ack::EngineEnded : orders::Ack::Applied;
+        co_return order.argument == "counsel-v3" ? orders::SendResult::EngineCrashed : orders::SendResult::Applied;
     };
     orders::Dispatcher dispatcher(api, lease, "a", crashingSender, quarantine);
     for (int n = 0; n < 8; ++n) {
         const auto result = loop().run(dispatcher.dispatch({"engine-" + std::to_string(n), "load_model", "counsel-v3", "load.2"}));
-        CHECK(result == (n < 3 ? orders::OrderResult::EngineEnded : orders::OrderResult::Quarantined));
+        CHECK(result == (n < 3 ? orders::OrderResult::EngineCrashed : orders::OrderResult::Quarantined));
     }
     LONGS_EQUAL(3, sent);
     const auto other = loop().run(dispatcher.dispatch({"engine-0", "load_model", "counsel-v2", "load.1"}));
--- a/tests/test_ring.cpp
+++ b/tests/test_ring.cpp
@@ -61,7 +61,7 @@
     router::TableOptions o;
     o.policy = policy;
     o.affinity.loadFactor = 1.25;
-    o.suspectFor = std::chrono::seconds(1);
+    o.suspectDuration = std::chrono::seconds(1);
     return o;
 }
 } // namespace
@@ -164,7 +164,7 @@
         eps.push_back({"engine-" + std::to_string(i), "127.0.0.1", static_cast<uint16_t>(9000 + i), "pool", EndpointKind::Engine, EndpointState::Live});
     }
     table.setEndpoints(eps);
-    table.noteLeaving(eps[2], true, Clock::now()); // from its own load report
+    table.recordLeaving(eps[2], true, Clock::now()); // from its own load report
     table.setEndpoints(eps); // the delayed VM list still shows it as live
     for (int k = 0; k < 2000; ++k) {
         auto ep = table.acquire("pool", affinityFor(std::to_string(k)), {}, Clock::now());
@@ -228,7 +228,7 @@
         table.suspect("engine-3", now);
         auto during = table.acquire("pool", key, {}, now);
         table.release(*during, Clock::now());
-        table.recovered("engine-3");
+        table.clearFailures("engine-3");
         CHECK(during->id != "engine-3");
         moved += before->id != "engine-3" && during->id != before->id ? 1 : 0;
     }
@@ -247,14 +247,14 @@
         }
         return ep.has_value();
     };
-    for (const int seconds : {1, 2, 4, 8, 8}) { // doubles up to suspectForMost
+    for (const int seconds : {1, 2, 4, 8, 8}) { // doubles up to maxSuspectDuration
         table.suspect("a", now);
         now += std::chrono::seconds(seconds) - std::chrono::milliseconds(1);
         CHECK_FALSE(usable());
         now += std::chrono::milliseconds(1);
         CHECK(usable());
     }
-    table.recovered("a");
+    table.clearFailures("a");
     table.suspect("a", now);
     now += std::chrono::seconds(1);
     CHECK(usable());
@@ -290,13 +290,13 @@
             const auto router = rng() % m_policies.size();
             auto &policy = m_policies[router];
             const auto m = *policy.pick(affinity, placement::Usable(m_loads.size(), true), m_now);
-            policy.placed(m, m_now);
+            policy.requestStarted(m, m_now);
             m_inflight.emplace_back(router, m);
-            policy.reported(m, m_loads[m]++, m_now); // the load before this request
+            policy.recordLoadReport(m, m_loads[m]++, m_now); // the load before this request
             if (static_cast<int>(m_inflight.size()) > hold) {
                 const auto [from, done] = m_inflight.front();
                 m_inflight.pop_front();
-                m_policies[from].finished(done, m_now);
+                m_policies[from].requestFinished(done, m_now);
                 --m_loads[done];
                 const double mean = static_cast<double>(hold) / static_cast<double>(m_loads.size());
                 worst = std::max(worst, static_cast<double>(*std::max_element(m_loads.begin(), m_loads.end())) / mean);
@@ -340,7 +340,7 @@
     placement::TimePoint now{};
     const auto home = *p.pick(a, all, now);
     for (std::size_t m = 0; m < 4; ++m) {
-        p.reported(m, m == home ? 40 : 10, now);
+        p.recordLoadReport(m, m == home ? 40 : 10, now);
     }
     now += std::chrono::milliseconds(300);
     CHECK(*p.pick(a, all, now) != home);
@@ -370,7 +370,7 @@
     for (int i = 0; i < 2000; ++i) {
         now += std::chrono::milliseconds(10);
         const uint64_t w = i % 2 ? 1 : 100 + i % 200;
-        p.placed(*p.pick({ring::hash("w", w), ring::hash("c", i)}, all, now), now);
+        p.requestStarted(*p.pick({ring::hash("w", w), ring::hash("c", i)}, all, now), now);
     }
     LONGS_EQUAL(64, p.replicas(ring::hash("w", 1), 64));
     CHECK(p.replicas(ring::hash("w", 100), 64) <= 8);
@@ -386,7 +386,7 @@
     placement::TimePoint now{};
     for (int i = 0; i < 20000; ++i) {
         now += std::chrono::milliseconds(10);
-        p.placed(*p.pick({ring::hash("w", i / 8), ring::hash("c", i)}, all, now), now);
+        p.requestStarted(*p.pick({ring::hash("w", i / 8), ring::hash("c", i)}, all, now), now);
         CHECK(p.replicaSetCount() <= 4 * o.trackedKeys);
     }
 }
--- a/tests/test_shared_replica.cpp
+++ b/tests/test_shared_replica.cpp
@@ -2,7 +2,7 @@
 // other, and lost, late or wrong confirmations.
 #include "change_exchange.h"
 #include "follower.h"
-#include "follower_rig.h"
+#include "follower_fixture.h"
 #include "load_exchange.h"
 #include "local_object_api.h"
 
@@ -13,7 +13,7 @@
 #include <random>
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 using replica::Changes;
 using replica::Confirmation;
 using replica::ObjectReplica;
@@ -153,7 +153,7 @@
 
 // A router of a simulated failure domain; no sockets.
 struct SimulatedRouter {
-    replica::Freshness freshness;
+    replica::QuerySchedule schedule;
     bool dead = false;
     Clock::time_point watchEnds{};
     bool watching = false;
@@ -174,8 +174,8 @@
     {
         std::uniform_real_distribution<double> jitter(0, 1);
         for (auto &r : m_routers) {
-            r.freshness = replica::Freshness(replica::freshnessWithin(Millis(2000)), jitter(m_random));
-            r.freshness.recordConfirmation(m_now);
+            r.schedule = replica::QuerySchedule(replica::queryScheduleWithin(Millis(2000)), jitter(m_random));
+            r.schedule.recordConfirmation(m_now);
             r.nextSendAt = m_now + Millis(m_random() % roundTime.count());
         }
     }
@@ -211,19 +211,19 @@
         auto &r = m_routers[i];
         if (r.watching && m_now >= r.watchEnds) {
             r.watching = false;
-            r.freshness.recordConfirmation(m_now);
+            r.schedule.recordConfirmation(m_now);
         }
-        if (!r.watching && r.freshness.queryDueAt(rank(i)) <= m_now) {
+        if (!r.watching && r.schedule.queryDueAt(rank(i)) <= m_now) {
             ++storeCalls;
             r.watching = true;
-            r.watchEnds = m_now + r.freshness.options().watchWait;
+            r.watchEnds = m_now + r.schedule.options().watchTimeout;
         }
         if (m_now >= r.nextSendAt) {
             r.nextSendAt = m_now + roundTime;
             sendConfirmations(i);
         }
         if (!r.watching) { // a pending watch reports a change at once
-            r.maxConfirmationAge = std::max(r.maxConfirmationAge, m_now - r.freshness.confirmedAt());
+            r.maxConfirmationAge = std::max(r.maxConfirmationAge, m_now - r.schedule.confirmedAt());
         }
     }
     std::size_t rank(std::size_t i) const
@@ -243,7 +243,7 @@
             const std::size_t to = m_random() % m_routers.size();
             if (to != i && chance(m_random) >= m_lossRate) {
                 m_lastHeardAt[to][i] = m_now;
-                m_routers[to].freshness.recordConfirmation(m_routers[i].freshness.confirmedAt());
+                m_routers[to].schedule.recordConfirmation(m_routers[i].schedule.confirmedAt());
             }
         }
     }
@@ -266,11 +266,11 @@
 
 } // namespace
 
-TEST_GROUP(Freshness){};
+TEST_GROUP(QuerySchedule){};
 
 // If each router queried the store itself, once per watch timeout of 2 s, that would be 5 calls per router in ten seconds: 295
 // for a domain of 59.
-TEST(Freshness, TheNumberOfStoreCallsDoesNotGrowWithTheNumberOfRouters)
+TEST(QuerySchedule, TheNumberOfStoreCallsDoesNotGrowWithTheNumberOfRouters)
 {
     for (const std::size_t routers : {2u, 8u, 59u, 200u}) {
         const int storeCalls = storeCallsInTenSeconds(routers, 0.0);
@@ -279,7 +279,7 @@
     CHECK(storeCallsInTenSeconds(59, 0.05) <= 100);
 }
 
-TEST(Freshness, TheAgeOfARoutersConfirmationIsBounded)
+TEST(QuerySchedule, TheAgeOfARoutersConfirmationIsBounded)
 {
     for (unsigned seed = 1; seed <= 5; ++seed) {
         SimulatedDomain domain(59, 0.05, seed);
@@ -293,35 +293,35 @@
     }
 }
 
-TEST(Freshness, ARouterOfRankZeroQueriesContinuously)
+TEST(QuerySchedule, ARouterOfRankZeroQueriesContinuously)
 {
-    replica::Freshness freshness(replica::freshnessWithin(Millis(2000)), 0.5);
+    replica::QuerySchedule schedule(replica::queryScheduleWithin(Millis(2000)), 0.5);
     const Clock::time_point now{std::chrono::hours(1)};
-    freshness.recordConfirmation(now);
-    CHECK(freshness.queryDueAt(0) == now);
-    CHECK(freshness.queryDueAt(1) > now + Millis(900));
-    CHECK(freshness.queryDueAt(3) > freshness.queryDueAt(2));
-    CHECK(freshness.queryDueAt(100) <= now + Millis(1600));
+    schedule.recordConfirmation(now);
+    CHECK(schedule.queryDueAt(0) == now);
+    CHECK(schedule.queryDueAt(1) > now + Millis(900));
+    CHECK(schedule.queryDueAt(3) > schedule.queryDueAt(2));
+    CHECK(schedule.queryDueAt(100) <= now + Millis(1600));
 }
 
 LOOP_GROUP(SharedFollower);
 
 TEST(SharedFollower, TheStoreIsNotQueriedWhileANeighboursConfirmationIsRecent)
 {
-    FollowerRig rig;
-    rig.store.put("k", "a", 1, std::nullopt);
-    rig.neighbourQueriesStore(loop());
+    FollowerFixture fixture;
+    fixture.store.put("k", "a", 1, std::nullopt);
+    fixture.neighbourQueriesStore(loop());
     std::optional<bool> ended;
-    loop().start(ranToItsEnd(*rig.follower), ended);
+    loop().start(runUntilStopped(*fixture.follower), ended);
     for (int i = 0; i < 30; ++i) {
-        CHECK(loop().run(passed(Millis(100))));
-        rig.neighbourQueriesStore(loop());
-        rig.receiveNeighbourConfirmation();
+        CHECK(loop().run(trueAfterDelay(Millis(100))));
+        fixture.neighbourQueriesStore(loop());
+        fixture.receiveNeighbourConfirmation();
     }
-    LONGS_EQUAL(1, rig.api.lists);
-    LONGS_EQUAL(0, rig.api.watches);
-    rig.follower->stop();
-    loop().until([&] {
+    LONGS_EQUAL(1, fixture.api.lists);
+    LONGS_EQUAL(0, fixture.api.watches);
+    fixture.follower->stop();
+    loop().runUntil([&] {
         return ended.has_value();
     });
 }
@@ -329,139 +329,139 @@
 // The first listing is taken from a replica. It is not announced to peers until a neighbour or a watch has confirmed it.
 TEST(SharedFollower, AFirstListingComesFromAReplicaAndIsConfirmedByANeighbour)
 {
-    FollowerRig rig;
-    rig.store.put("k", "a", 1, std::nullopt);
-    CHECK(loop().run(rig.follower->step()));
-    CHECK(rig.api.lastListFreshness == platform::Freshness::MayLag);
-    CHECK(!rig.own.currentConfirmation().has_value());
-    CHECK(rig.own.queryDueAt(Clock::now()) > Clock::now() + Millis(1000)); // peers are expected to confirm it
-    rig.neighbourQueriesStore(loop());
-    rig.receiveNeighbourConfirmation();
-    CHECK(rig.own.isConfirmed());
-    LONGS_EQUAL(0, rig.api.watches);
+    FollowerFixture fixture;
+    fixture.store.put("k", "a", 1, std::nullopt);
+    CHECK(loop().run(fixture.follower->step()));
+    CHECK(fixture.api.lastListFreshness == platform::Freshness::MayLag);
+    CHECK(!fixture.own.currentConfirmation().has_value());
+    CHECK(fixture.own.queryDueAt(Clock::now()) > Clock::now() + Millis(1000)); // peers are expected to confirm it
+    fixture.neighbourQueriesStore(loop());
+    fixture.receiveNeighbourConfirmation();
+    CHECK(fixture.own.isConfirmed());
+    LONGS_EQUAL(0, fixture.api.watches);
 }
 
 TEST(SharedFollower, ALaggingFirstListingIsCorrectedByANeighboursChanges)
 {
-    FollowerRig rig;
-    CHECK(loop().run(rig.follower->step()));
-    rig.store.put("k", "a", 1, std::nullopt); // missing in the replica's listing
-    rig.neighbourQueriesStore(loop());
-    rig.receiveNeighbourConfirmation();
-    CHECK(loop().run(rig.follower->step()));
-    STRCMP_EQUAL("set a", rig.sink.news.back().c_str());
+    FollowerFixture fixture;
+    CHECK(loop().run(fixture.follower->step()));
+    fixture.store.put("k", "a", 1, std::nullopt); // missing in the replica's listing
+    fixture.neighbourQueriesStore(loop());
+    fixture.receiveNeighbourConfirmation();
+    CHECK(loop().run(fixture.follower->step()));
+    STRCMP_EQUAL("set a", fixture.sink.updates.back().c_str());
 }
 
 TEST(SharedFollower, ARouterThatHearsNobodyConfirmsItsFirstListingItself)
 {
-    FollowerRig rig;
-    rig.rank = std::nullopt;
-    rig.options.selfConfirmDelay = Millis(50);
-    rig.follower = std::make_unique<Follower<RecordingSink>>(rig.api, "k", rig.sink, rig.options);
-    CHECK(loop().run(rig.follower->step()));
-    CHECK(loop().run(rig.follower->step()));
-    CHECK(!rig.own.isConfirmed()); // a replica's answer confirms nothing
-    LONGS_EQUAL(0, rig.api.currentWatches);
-    CHECK(rig.api.lastWait <= Millis(50));
-    CHECK(loop().run(passed(Millis(60))));
-    CHECK(loop().run(rig.follower->step()));
-    CHECK(rig.own.isConfirmed());
-    LONGS_EQUAL(1, rig.api.currentWatches);
+    FollowerFixture fixture;
+    fixture.rank = std::nullopt;
+    fixture.options.selfConfirmDelay = Millis(50);
+    fixture.follower = std::make_unique<Follower<RecordingSink>>(fixture.api, "k", fixture.sink, fixture.options);
+    CHECK(loop().run(fixture.follower->step()));
+    CHECK(loop().run(fixture.follower->step()));
+    CHECK(!fixture.own.isConfirmed()); // a replica's answer confirms nothing
+    LONGS_EQUAL(0, fixture.api.currentWatches);
+    CHECK(fixture.api.lastWait <= Millis(50));
+    CHECK(loop().run(trueAfterDelay(Millis(60))));
+    CHECK(loop().run(fixture.follower->step()));
+    CHECK(fixture.own.isConfirmed());
+    LONGS_EQUAL(1, fixture.api.currentWatches);
 }
 
 // Guards against every router of a fleet querying the store when routers begin to hear each other.
 TEST(SharedFollower, ARouterThatBeginsToHearOthersWaitsForTheirConfirmation)
 {
-    FollowerRig rig;
-    rig.rank = std::nullopt;
-    rig.start(loop());
+    FollowerFixture fixture;
+    fixture.rank = std::nullopt;
+    fixture.start(loop());
     const auto later = Clock::now() + std::chrono::seconds(5);
-    CHECK(rig.own.queryDueAt(later) <= later);
-    rig.rank = 5;
-    CHECK(rig.own.queryDueAt(later) > later + Millis(1000));
-    CHECK(rig.own.queryDueAt(later + Millis(100)) < later + Millis(2500)); // counted from the first time that others were heard
+    CHECK(fixture.own.queryDueAt(later) <= later);
+    fixture.rank = 5;
+    CHECK(fixture.own.queryDueAt(later) > later + Millis(1000));
+    CHECK(fixture.own.queryDueAt(later + Millis(100)) < later + Millis(2500)); // counted from the first time that others were heard
 }
 
 TEST(SharedFollower, ChangesAreFetchedFromTheNeighbourThatAnnouncedThem)
 {
-    FollowerRig rig;
-    rig.store.put("k", "a", 1, std::nullopt);
-    rig.start(loop());
-    rig.neighbourQueriesStore(loop());
-    rig.store.put("k", "b", 1, std::nullopt);
-    rig.store.remove("k", "a", std::nullopt);
-    rig.neighbourQueriesStore(loop());
-    rig.receiveNeighbourConfirmation();
-    CHECK(rig.own.behindPeer());
-    CHECK(loop().run(rig.follower->step()));
+    FollowerFixture fixture;
+    fixture.store.put("k", "a", 1, std::nullopt);
+    fixture.start(loop());
+    fixture.neighbourQueriesStore(loop());
+    fixture.store.put("k", "b", 1, std::nullopt);
+    fixture.store.remove("k", "a", std::nullopt);
+    fixture.neighbourQueriesStore(loop());
+    fixture.receiveNeighbourConfirmation();
+    CHECK(fixture.own.behindPeer());
+    CHECK(loop().run(fixture.follower->step()));
     const std::vector<std::string> expected{"listed 1", "set b", "gone a"};
-    CHECK(rig.sink.news == expected);
-    LONGS_EQUAL(0, rig.api.watches);
-    CHECK(rig.own.currentConfirmation()->digest == rig.other.currentConfirmation()->digest);
-    CHECK(rig.source.lastFrom == neighbour);
+    CHECK(fixture.sink.updates == expected);
+    LONGS_EQUAL(0, fixture.api.watches);
+    CHECK(fixture.own.currentConfirmation()->digest == fixture.other.currentConfirmation()->digest);
+    CHECK(fixture.source.lastFrom == neighbour);
 }
 
 TEST(SharedFollower, TheStoreIsQueriedAtOnceWhenTheNeighbourDoesNotAnswer)
 {
-    FollowerRig rig;
-    rig.start(loop());
-    rig.neighbourQueriesStore(loop());
-    rig.store.put("k", "b", 1, std::nullopt);
-    rig.neighbourQueriesStore(loop());
-    rig.receiveNeighbourConfirmation();
-    rig.source.peer = nullptr;
-    CHECK(loop().run(rig.follower->step()));
+    FollowerFixture fixture;
+    fixture.start(loop());
+    fixture.neighbourQueriesStore(loop());
+    fixture.store.put("k", "b", 1, std::nullopt);
+    fixture.neighbourQueriesStore(loop());
+    fixture.receiveNeighbourConfirmation();
+    fixture.source.peer = nullptr;
+    CHECK(loop().run(fixture.follower->step()));
     const std::vector<std::string> expected{"listed 0", "set b"};
-    CHECK(rig.sink.news == expected);
-    LONGS_EQUAL(1, rig.api.watches); // at a replica, which has the announced change
+    CHECK(fixture.sink.updates == expected);
+    LONGS_EQUAL(1, fixture.api.watches); // at a replica, which has the announced change
 }
 
 TEST(SharedFollower, ANeighboursChangesAreAppliedWhileTheStoreIsUnreachable)
 {
-    FollowerRig rig;
-    rig.start(loop());
-    rig.neighbourQueriesStore(loop());
-    rig.api.outage = true;
-    CHECK(!loop().run(rig.follower->step()));
-    rig.store.put("k", "b", 1, std::nullopt);
-    rig.neighbourQueriesStore(loop());
-    rig.receiveNeighbourConfirmation();
-    CHECK(loop().run(rig.follower->step()));
+    FollowerFixture fixture;
+    fixture.start(loop());
+    fixture.neighbourQueriesStore(loop());
+    fixture.api.outage = true;
+    CHECK(!loop().run(fixture.follower->step()));
+    fixture.store.put("k", "b", 1, std::nullopt);
+    fixture.neighbourQueriesStore(loop());
+    fixture.receiveNeighbourConfirmation();
+    CHECK(loop().run(fixture.follower->step()));
     const std::vector<std::string> expected{"listed 0", "regained", "set b"};
-    CHECK(rig.sink.news == expected);
+    CHECK(fixture.sink.updates == expected);
 }
 
 // Guards against a retry delay that keeps a change out of force: the announcement of the change arrives while a last call to
 // the unreachable store is still pending, and the delay after that call ignores it.
 TEST(SharedFollower, ChangesAnnouncedDuringAFailingCallDoNotWaitForTheRetryDelay)
 {
-    FollowerRig rig;
-    rig.start(loop());
-    rig.neighbourQueriesStore(loop());
-    rig.options.nonProberRetryDelay = Millis(60000);
-    rig.api.outage = true;
-    rig.api.watchLatency = Millis(200);
+    FollowerFixture fixture;
+    fixture.start(loop());
+    fixture.neighbourQueriesStore(loop());
+    fixture.options.nonProberRetryDelay = Millis(60000);
+    fixture.api.outage = true;
+    fixture.api.watchLatency = Millis(200);
     std::optional<bool> ended;
-    rig.own.recordConfirmation(1, Clock::now() - std::chrono::seconds(5), false);
-    auto follower = std::make_unique<Follower<RecordingSink>>(rig.api, "k", rig.sink, rig.options);
-    rig.api.outage = false;
+    fixture.own.recordConfirmation(1, Clock::now() - std::chrono::seconds(5), false);
+    auto follower = std::make_unique<Follower<RecordingSink>>(fixture.api, "k", fixture.sink, fixture.options);
+    fixture.api.outage = false;
     CHECK(loop().run(follower->step()));
-    rig.api.outage = true;
-    loop().start(ranToItsEnd(*follower), ended);
-    loop().until([&] {
-        return rig.api.watches == 1; // the call is pending
+    fixture.api.outage = true;
+    loop().start(runUntilStopped(*follower), ended);
+    loop().runUntil([&] {
+        return fixture.api.watches == 1; // the call is pending
     });
-    rig.store.put("k", "b", 1, std::nullopt);
-    rig.neighbourQueriesStore(loop());
-    rig.receiveNeighbourConfirmation();
+    fixture.store.put("k", "b", 1, std::nullopt);
+    fixture.neighbourQueriesStore(loop());
+    fixture.receiveNeighbourConfirmation();
     std::optional<bool> waited;
-    loop().start(passed(Millis(2000)), waited);
-    loop().until([&] {
-        return waited.has_value() || rig.sink.news.back() == "set b";
+    loop().start(trueAfterDelay(Millis(2000)), waited);
+    loop().runUntil([&] {
+        return waited.has_value() || fixture.sink.updates.back() == "set b";
     });
-    STRCMP_EQUAL("set b", rig.sink.news.back().c_str());
+    STRCMP_EQUAL("set b", fixture.sink.updates.back().c_str());
     follower->stop();
-    loop().until([&] {
+    loop().runUntil([&] {
         return ended.has_value();
     });
 }
@@ -470,118 +470,118 @@
 // confirmation from a neighbour.
 TEST(SharedFollower, LargeChangesAreFetchedFromANeighbourWhileTheStoreIsUnreachable)
 {
-    FollowerRig rig;
-    rig.start(loop());
-    rig.neighbourQueriesStore(loop());
-    rig.api.outage = true;
-    rig.store.put("k", "large", std::string(200000, 'x'), std::nullopt);
-    rig.neighbourQueriesStore(loop());
-    rig.receiveNeighbourConfirmation();
-    CHECK(!loop().run(rig.follower->step())); // too large for a regular transfer, and the store refuses the call
-    rig.receiveNeighbourConfirmation();
-    CHECK(!rig.own.behindPeer()); // not requested again at once
-    CHECK(loop().run(passed(Millis(1050))));
-    rig.receiveNeighbourConfirmation();
-    CHECK(rig.own.behindPeer());
-    CHECK(loop().run(rig.follower->step()));
-    STRCMP_EQUAL("set large", rig.sink.news.back().c_str());
-    LONGS_EQUAL(1, rig.api.watches);
+    FollowerFixture fixture;
+    fixture.start(loop());
+    fixture.neighbourQueriesStore(loop());
+    fixture.api.outage = true;
+    fixture.store.put("k", "large", std::string(200000, 'x'), std::nullopt);
+    fixture.neighbourQueriesStore(loop());
+    fixture.receiveNeighbourConfirmation();
+    CHECK(!loop().run(fixture.follower->step())); // too large for a regular transfer, and the store refuses the call
+    fixture.receiveNeighbourConfirmation();
+    CHECK(!fixture.own.behindPeer()); // not requested again at once
+    CHECK(loop().run(trueAfterDelay(Millis(1050))));
+    fixture.receiveNeighbourConfirmation();
+    CHECK(fixture.own.behindPeer());
+    CHECK(loop().run(fixture.follower->step()));
+    STRCMP_EQUAL("set large", fixture.sink.updates.back().c_str());
+    LONGS_EQUAL(1, fixture.api.watches);
 }
 
 // Every router of the fleet reads each change of a large configuration from the store, so a cheap replica is tried first.
 TEST(SharedFollower, LargeChangesAreReadFromAReplicaAndFromTheStoreOnlyIfItLags)
 {
-    FollowerRig rig;
-    rig.start(loop());
-    rig.neighbourQueriesStore(loop());
-    const uint64_t before = rig.store.revision();
+    FollowerFixture fixture;
+    fixture.start(loop());
+    fixture.neighbourQueriesStore(loop());
+    const uint64_t before = fixture.store.revision();
     for (const bool lags : {false, true}) {
-        rig.api.replicaAt = lags ? std::optional(rig.store.revision()) : std::nullopt;
-        rig.store.put("k", "large", std::string(200000, lags ? 'x' : 'y'), std::nullopt);
-        rig.neighbourQueriesStore(loop());
-        rig.receiveNeighbourConfirmation();
-        CHECK(loop().run(rig.follower->step()));
-        STRCMP_EQUAL("set large", rig.sink.news.back().c_str());
-        LONGS_EQUAL(lags ? 1 : 0, rig.api.currentWatches);
-        CHECK(rig.own.currentConfirmation()->revision >= before);
+        fixture.api.replicaAt = lags ? std::optional(fixture.store.revision()) : std::nullopt;
+        fixture.store.put("k", "large", std::string(200000, lags ? 'x' : 'y'), std::nullopt);
+        fixture.neighbourQueriesStore(loop());
+        fixture.receiveNeighbourConfirmation();
+        CHECK(loop().run(fixture.follower->step()));
+        STRCMP_EQUAL("set large", fixture.sink.updates.back().c_str());
+        LONGS_EQUAL(lags ? 1 : 0, fixture.api.currentWatches);
+        CHECK(fixture.own.currentConfirmation()->revision >= before);
     }
 }
 
 TEST(SharedFollower, AnOldConfirmationChangesNothing)
 {
-    FollowerRig rig;
-    rig.store.put("k", "a", 1, std::nullopt);
-    rig.neighbourQueriesStore(loop());
-    const auto old = *rig.other.currentConfirmation();
-    rig.store.put("k", "a", 2, std::nullopt);
-    rig.start(loop());
-    const auto confirmed = rig.own.confirmedAt();
-    rig.own.receiveConfirmation(old, neighbour, Clock::now());
-    CHECK(!rig.own.behindPeer());
-    CHECK(rig.own.confirmedAt() == confirmed);
-    LONGS_EQUAL(0, rig.source.fetches);
+    FollowerFixture fixture;
+    fixture.store.put("k", "a", 1, std::nullopt);
+    fixture.neighbourQueriesStore(loop());
+    const auto old = *fixture.other.currentConfirmation();
+    fixture.store.put("k", "a", 2, std::nullopt);
+    fixture.start(loop());
+    const auto confirmed = fixture.own.confirmedAt();
+    fixture.own.receiveConfirmation(old, neighbour, Clock::now());
+    CHECK(!fixture.own.behindPeer());
+    CHECK(fixture.own.confirmedAt() == confirmed);
+    LONGS_EQUAL(0, fixture.source.fetches);
 }
 
 TEST(SharedFollower, AConfirmationOfTheSameObjectsCountsFromItsOwnTime)
 {
-    FollowerRig rig;
-    rig.start(loop());
-    rig.neighbourQueriesStore(loop());
-    auto confirmation = *rig.other.currentConfirmation();
-    const auto before = rig.own.confirmedAt();
+    FollowerFixture fixture;
+    fixture.start(loop());
+    fixture.neighbourQueriesStore(loop());
+    auto confirmation = *fixture.other.currentConfirmation();
+    const auto before = fixture.own.confirmedAt();
     confirmation.at = before - Millis(100); // delayed on its way
-    rig.own.receiveConfirmation(confirmation, neighbour, Clock::now());
-    CHECK(rig.own.confirmedAt() == before);
+    fixture.own.receiveConfirmation(confirmation, neighbour, Clock::now());
+    CHECK(fixture.own.confirmedAt() == before);
     confirmation.at = before + Millis(1);
-    rig.own.receiveConfirmation(confirmation, neighbour, Clock::now());
-    CHECK(rig.own.confirmedAt() == confirmation.at);
+    fixture.own.receiveConfirmation(confirmation, neighbour, Clock::now());
+    CHECK(fixture.own.confirmedAt() == confirmation.at);
 }
 
 // A neighbour that claims a revision the store never had, or that misses an object, must not mislead this router for long.
 TEST(SharedFollower, TheStoreIsListedWhenTwoRoutersHoldDifferentObjects)
 {
-    FollowerRig rig;
-    rig.options.minRelistInterval = Millis(0);
-    rig.follower = std::make_unique<Follower<RecordingSink>>(rig.api, "k", rig.sink, rig.options);
-    rig.store.put("k", "a", 1, std::nullopt);
-    rig.start(loop());
-    rig.neighbourQueriesStore(loop());
-    rig.other.applyChange(object("a", 0), true, 1); // the neighbour takes "a" for deleted; the store has it
-    rig.other.recordConfirmation(50, Clock::now(), false);
-    rig.receiveNeighbourConfirmation();
-    CHECK(rig.own.behindPeer());
-    CHECK(loop().run(rig.follower->step()));
-    STRCMP_EQUAL("listed 1", rig.sink.news.back().c_str());
-    LONGS_EQUAL(2, rig.api.lists);
+    FollowerFixture fixture;
+    fixture.options.minRelistInterval = Millis(0);
+    fixture.follower = std::make_unique<Follower<RecordingSink>>(fixture.api, "k", fixture.sink, fixture.options);
+    fixture.store.put("k", "a", 1, std::nullopt);
+    fixture.start(loop());
+    fixture.neighbourQueriesStore(loop());
+    fixture.other.applyChange(object("a", 0), true, 1); // the neighbour takes "a" for deleted; the store has it
+    fixture.other.recordConfirmation(50, Clock::now(), false);
+    fixture.receiveNeighbourConfirmation();
+    CHECK(fixture.own.behindPeer());
+    CHECK(loop().run(fixture.follower->step()));
+    STRCMP_EQUAL("listed 1", fixture.sink.updates.back().c_str());
+    LONGS_EQUAL(2, fixture.api.lists);
 }
 
 // During an outage of the store, the last confirmations still spread. They must not end the retry delays of routers that found
 // the store unreachable.
 TEST(SharedFollower, AnExpiredConfirmationDoesNotEndTheRetryDelay)
 {
-    FollowerRig rig;
-    rig.start(loop());
-    rig.neighbourQueriesStore(loop());
-    rig.options.nonProberRetryDelay = Millis(60000);
-    Follower<RecordingSink> follower(rig.api, "k", rig.sink, rig.options);
+    FollowerFixture fixture;
+    fixture.start(loop());
+    fixture.neighbourQueriesStore(loop());
+    fixture.options.nonProberRetryDelay = Millis(60000);
+    Follower<RecordingSink> follower(fixture.api, "k", fixture.sink, fixture.options);
     CHECK(loop().run(follower.step()));
-    rig.api.outage = true;
-    rig.api.watchLatency = Millis(1);
+    fixture.api.outage = true;
+    fixture.api.watchLatency = Millis(1);
     std::optional<bool> ended;
-    loop().start(ranToItsEnd(follower), ended);
-    loop().until([&] {
-        return rig.api.watches == 1;
+    loop().start(runUntilStopped(follower), ended);
+    loop().runUntil([&] {
+        return fixture.api.watches == 1;
     });
-    CHECK(loop().run(passed(Millis(20))));
-    auto confirmation = *rig.own.currentConfirmation();
+    CHECK(loop().run(trueAfterDelay(Millis(20))));
+    auto confirmation = *fixture.own.currentConfirmation();
     for (int i = 0; i < 20; ++i) {
         confirmation.at += Millis(1);
-        rig.own.receiveConfirmation(confirmation, neighbour, Clock::now());
-        CHECK(loop().run(passed(Millis(5))));
+        fixture.own.receiveConfirmation(confirmation, neighbour, Clock::now());
+        CHECK(loop().run(trueAfterDelay(Millis(5))));
     }
-    LONGS_EQUAL(1, rig.api.watches);
+    LONGS_EQUAL(1, fixture.api.watches);
     follower.stop();
-    loop().until([&] {
+    loop().runUntil([&] {
         return ended.has_value();
     });
 }
@@ -589,40 +589,40 @@
 // Guards against one round of store calls per received datagram while two routers hold different objects and the store refuses calls.
 TEST(SharedFollower, AnUnresolvedDifferenceIsNotFetchedAtEachConfirmation)
 {
-    FollowerRig rig;
-    rig.store.put("k", "a", 1, std::nullopt);
-    rig.start(loop());
-    rig.neighbourQueriesStore(loop());
-    rig.other.applyChange(object("a", 0), true, 1);
-    rig.other.recordConfirmation(50, Clock::now(), false);
-    rig.api.outage = true;
+    FollowerFixture fixture;
+    fixture.store.put("k", "a", 1, std::nullopt);
+    fixture.start(loop());
+    fixture.neighbourQueriesStore(loop());
+    fixture.other.applyChange(object("a", 0), true, 1);
+    fixture.other.recordConfirmation(50, Clock::now(), false);
+    fixture.api.outage = true;
     for (int i = 0; i < 20; ++i) {
-        rig.receiveNeighbourConfirmation();
-        if (rig.own.behindPeer()) {
-            CHECK(!loop().run(rig.follower->step()));
+        fixture.receiveNeighbourConfirmation();
+        if (fixture.own.behindPeer()) {
+            CHECK(!loop().run(fixture.follower->step()));
         }
     }
-    LONGS_EQUAL(1, rig.source.fetches);
-    CHECK(rig.api.watches <= 2);
+    LONGS_EQUAL(1, fixture.source.fetches);
+    CHECK(fixture.api.watches <= 2);
 }
 
 TEST(SharedFollower, ARouterThatHearsNobodyQueriesTheStoreItself)
 {
-    FollowerRig rig;
-    rig.rank = std::nullopt;
-    rig.store.put("k", "a", 1, std::nullopt);
+    FollowerFixture fixture;
+    fixture.rank = std::nullopt;
+    fixture.store.put("k", "a", 1, std::nullopt);
     std::optional<bool> ended;
-    loop().start(ranToItsEnd(*rig.follower), ended);
-    loop().until([&] {
-        return rig.api.watches >= 2;
+    loop().start(runUntilStopped(*fixture.follower), ended);
+    loop().runUntil([&] {
+        return fixture.api.watches >= 2;
     });
-    rig.store.put("k", "b", 1, std::nullopt);
-    loop().until([&] {
-        return rig.sink.news.back() == "set b";
+    fixture.store.put("k", "b", 1, std::nullopt);
+    loop().runUntil([&] {
+        return fixture.sink.updates.back() == "set b";
     });
-    STRCMP_EQUAL("set b", rig.sink.news.back().c_str());
-    rig.follower->stop();
-    loop().until([&] {
+    STRCMP_EQUAL("set b", fixture.sink.updates.back().c_str());
+    fixture.follower->stop();
+    loop().runUntil([&] {
         return ended.has_value();
     });
 }
@@ -660,7 +660,7 @@
     held.recordConfirmation(5, Clock::now(), true);
     replica::ChangeServer changes({&held});
     http::Server server({&loop().io}, "127.0.0.1", 0, [&](http::Exchange &ex) {
-        return changes.answer(ex);
+        return changes.handle(ex);
     });
     const http::Address at{"127.0.0.1", std::get<uint16_t>(server.start())};
     replica::ChangeClient client;
--- a/tests/test_soak.cpp
+++ b/tests/test_soak.cpp
@@ -9,7 +9,7 @@
 #include <set>
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 using soak::Kind;
 
 TEST_GROUP(SoakPlan){};
@@ -95,7 +95,7 @@
 {
     http::CallOptions options;
     options.deadline = Clock::now() + Millis(400);
-    options.reuse = http::Reuse::Kept;
+    options.reuse = http::ConnectionReuse::KeepAlive;
     const auto result = loop.run(client.call({"127.0.0.1", port}, http::makeRequest("GET", "/"), options));
     const auto *reply = std::get_if<http::Reply>(&result);
     return reply ? reply->status : 0;
--- a/tests/test_store_restore.cpp
+++ b/tests/test_store_restore.cpp
@@ -1,28 +1,28 @@
-// Tests of a store that is restored from an older copy: later writes are lost, and the revisions after the copy are assigned again.
-#include "control_rig.h"
-#include "follower_rig.h"
+// Tests of a store that is restored from a backup: later writes are lost, and the revisions after the backup are assigned again.
+#include "control_fixture.h"
+#include "follower_fixture.h"
 
 // CppUTest goes last: its memory-leak macros redefine operator new.
 #include "loop_group.h"
 
 using namespace yucca;
-using namespace yucca::rig;
+using namespace yucca::fixture;
 
 namespace
 {
 
 constexpr int stepsToConverge = 4; ///< a listing and a watch, each once more
 
-void converge(Loop &loop, FollowerRig &rig)
+void converge(Loop &loop, FollowerFixture &fixture)
 {
     for (int i = 0; i < stepsToConverge; ++i) {
-        loop.run(rig.follower->step());
+        loop.run(fixture.follower->step());
     }
 }
 
-bool recorded(const RecordingSink &sink, const std::string &news)
+bool recorded(const RecordingSink &sink, const std::string &updates)
 {
-    return std::find(sink.news.begin(), sink.news.end(), news) != sink.news.end();
+    return std::find(sink.updates.begin(), sink.updates.end(), updates) != sink.updates.end();
 }
 
 } // namespace
@@ -31,20 +31,20 @@
 
 TEST(StoreRestore, WritesUnderAReassignedRevisionTakeEffect)
 {
-    FollowerRig rig;
-    rig.rank = std::nullopt;
-    rig.store.put("k", "a", 1, std::nullopt);
-    const auto copy = rig.store.copy();
-    rig.store.put("k", "b", 1, std::nullopt);
-    rig.store.put("k", "c", 1, std::nullopt);
-    converge(loop(), rig);
-    rig.store.restore(copy);
-    rig.store.put("k", "x", 1, std::nullopt);
-    rig.store.put("k", "b", 1, std::nullopt);
-    rig.store.put("k", "c", 1, std::nullopt);
-    rig.sink.news.clear();
-    converge(loop(), rig);
-    CHECK(recorded(rig.sink, "listed 4") || recorded(rig.sink, "set x"));
+    FollowerFixture fixture;
+    fixture.rank = std::nullopt;
+    fixture.store.put("k", "a", 1, std::nullopt);
+    const auto copy = fixture.store.copy();
+    fixture.store.put("k", "b", 1, std::nullopt);
+    fixture.store.put("k", "c", 1, std::nullopt);
+    converge(loop(), fixture);
+    fixture.store.restore(copy);
+    fixture.store.put("k", "x", 1, std::nullopt);
+    fixture.store.put("k", "b", 1, std::nullopt);
+    fixture.store.put("k", "c", 1, std::nullopt);
+    fixture.sink.updates.clear();
+    converge(loop(), fixture);
+    CHECK(recorded(fixture.sink, "listed 4") || recorded(fixture.sink, "set x"));
 }
 
 namespace
@@ -52,231 +52,231 @@
 
 nlohmann::json leavingEntryAt(const std::string &address)
 {
-    auto entry = entryAt(address);
+    auto entry = endpointEntryAt(address);
     entry["state"] = "draining";
     return entry;
 }
 
 } // namespace
 
-TEST(StoreRestore, ADrainingEndpointIsNotUsedAgainWhenTheCopyListsItAsReady)
+TEST(StoreRestore, ADrainingEndpointIsNotUsedAgainWhenTheBackupListsItAsReady)
 {
-    ControlRig rig;
-    rig.start(loop());
-    const auto copy = rig.store.copy();
-    rig.store.put("servers", "i-north", leavingEntryAt("10.0.0.1:80"), std::nullopt);
-    CHECK(loop().run(rig.control.stepEndpoints()));
-    CHECK((rig.takers() == std::set<std::string>{"i-south"}));
-    rig.store.restore(copy);
+    ControlFixture fixture;
+    fixture.start(loop());
+    const auto copy = fixture.store.copy();
+    fixture.store.put("servers", "i-north", leavingEntryAt("10.0.0.1:80"), std::nullopt);
+    CHECK(loop().run(fixture.control.stepEndpoints()));
+    CHECK((fixture.placementTargets() == std::set<std::string>{"i-south"}));
+    fixture.store.restore(copy);
     for (int i = 0; i < stepsToConverge; ++i) {
-        loop().run(rig.control.stepEndpoints());
-        CHECK((rig.takers() == std::set<std::string>{"i-south"}));
+        loop().run(fixture.control.stepEndpoints());
+        CHECK((fixture.placementTargets() == std::set<std::string>{"i-south"}));
     }
 }
 
 TEST(StoreRestore, AConfirmationFromBeforeTheRestoreNeitherConfirmsNorRaisesTheRevision)
 {
-    FollowerRig rig;
-    rig.store.put("k", "a", 1, std::nullopt);
-    const auto copy = rig.store.copy();
-    rig.neighbourQueriesStore(loop());
-    rig.start(loop());
-    rig.store.put("j", "other", 1, std::nullopt); // raises the revision without a change of this kind
-    rig.store.put("j", "other", 2, std::nullopt);
-    rig.neighbourQueriesStore(loop());
-    const auto confirmation = *rig.other.currentConfirmation();
-    rig.store.restore(copy);
-    rig.rank = std::nullopt;
-    converge(loop(), rig);
-    const auto confirmedAt = rig.own.confirmedAt();
-    rig.own.receiveConfirmation({"k", confirmation.revision, confirmation.digest, Clock::now() + std::chrono::seconds(1), confirmation.epoch}, neighbour,
-                                Clock::now());
-    CHECK(rig.own.confirmedAt() == confirmedAt);
-    rig.store.put("k", "x", 1, std::nullopt);
-    converge(loop(), rig);
-    CHECK(recorded(rig.sink, "set x") || recorded(rig.sink, "listed 2"));
+    FollowerFixture fixture;
+    fixture.store.put("k", "a", 1, std::nullopt);
+    const auto copy = fixture.store.copy();
+    fixture.neighbourQueriesStore(loop());
+    fixture.start(loop());
+    fixture.store.put("j", "other", 1, std::nullopt); // raises the revision without a change of this kind
+    fixture.store.put("j", "other", 2, std::nullopt);
+    fixture.neighbourQueriesStore(loop());
+    const auto confirmation = *fixture.other.currentConfirmation();
+    fixture.store.restore(copy);
+    fixture.rank = std::nullopt;
+    converge(loop(), fixture);
+    const auto confirmedAt = fixture.own.confirmedAt();
+    fixture.own.receiveConfirmation({"k", confirmation.revision, confirmation.digest, Clock::now() + std::chrono::seconds(1), confirmation.epoch}, neighbour,
+                                    Clock::now());
+    CHECK(fixture.own.confirmedAt() == confirmedAt);
+    fixture.store.put("k", "x", 1, std::nullopt);
+    converge(loop(), fixture);
+    CHECK(recorded(fixture.sink, "set x") || recorded(fixture.sink, "listed 2"));
 }
 
 TEST(StoreRestore, ARouterThatTheStoreRefusesFetchesTheLaterEpochFromItsNeighbour)
 {
-    FollowerRig rig;
-    rig.store.put("k", "a", 1, std::nullopt);
-    const auto copy = rig.store.copy();
-    rig.store.put("k", "lost", 1, std::nullopt);
-    rig.neighbourQueriesStore(loop());
-    rig.start(loop());
-    rig.api.outage = true;
-    rig.store.restore(copy);
-    rig.store.put("k", "b", 1, std::nullopt);
+    FollowerFixture fixture;
+    fixture.store.put("k", "a", 1, std::nullopt);
+    const auto copy = fixture.store.copy();
+    fixture.store.put("k", "lost", 1, std::nullopt);
+    fixture.neighbourQueriesStore(loop());
+    fixture.start(loop());
+    fixture.api.outage = true;
+    fixture.store.restore(copy);
+    fixture.store.put("k", "b", 1, std::nullopt);
     for (int i = 0; i < stepsToConverge; ++i) {
-        rig.neighbourQueriesStore(loop());
+        fixture.neighbourQueriesStore(loop());
     }
-    rig.receiveNeighbourConfirmation();
-    CHECK(loop().run(rig.follower->step()));
-    CHECK(recorded(rig.sink, "restored"));
-    CHECK(recorded(rig.sink, "listed 2"));
-    CHECK(rig.own.currentConfirmation()->digest == rig.other.currentConfirmation()->digest);
-    CHECK(rig.own.currentConfirmation()->epoch == 1);
+    fixture.receiveNeighbourConfirmation();
+    CHECK(loop().run(fixture.follower->step()));
+    CHECK(recorded(fixture.sink, "restored"));
+    CHECK(recorded(fixture.sink, "listed 2"));
+    CHECK(fixture.own.currentConfirmation()->digest == fixture.other.currentConfirmation()->digest);
+    CHECK(fixture.own.currentConfirmation()->epoch == 1);
 }
 
 TEST(StoreRestore, ALaterEpochThatTheNeighbourDoesNotServeIsListed)
 {
-    FollowerRig rig;
-    rig.store.put("k", "a", 1, std::nullopt);
-    const auto copy = rig.store.copy();
-    rig.neighbourQueriesStore(loop());
-    rig.start(loop());
-    rig.store.restore(copy);
-    rig.store.put("k", "b", 1, std::nullopt);
+    FollowerFixture fixture;
+    fixture.store.put("k", "a", 1, std::nullopt);
+    const auto copy = fixture.store.copy();
+    fixture.neighbourQueriesStore(loop());
+    fixture.start(loop());
+    fixture.store.restore(copy);
+    fixture.store.put("k", "b", 1, std::nullopt);
     for (int i = 0; i < stepsToConverge; ++i) {
-        rig.neighbourQueriesStore(loop());
+        fixture.neighbourQueriesStore(loop());
     }
-    rig.source.peer = nullptr;
-    rig.receiveNeighbourConfirmation();
-    CHECK(loop().run(rig.follower->step()));
-    CHECK(recorded(rig.sink, "listed 2"));
+    fixture.source.peer = nullptr;
+    fixture.receiveNeighbourConfirmation();
+    CHECK(loop().run(fixture.follower->step()));
+    CHECK(recorded(fixture.sink, "listed 2"));
 }
 
 TEST(StoreRestore, TwoSuccessiveRestoresAreFollowedByARouterThatMissedTheFirst)
 {
-    FollowerRig rig;
-    rig.rank = std::nullopt;
-    rig.store.put("k", "a", 1, std::nullopt);
-    const auto first = rig.store.copy();
-    rig.store.put("k", "b", 1, std::nullopt);
-    converge(loop(), rig);
-    rig.api.outage = true;
-    rig.store.restore(first);
-    rig.store.put("k", "c", 1, std::nullopt);
-    const auto second = rig.store.copy();
-    rig.store.put("k", "d", 1, std::nullopt);
-    loop().run(rig.follower->step());
-    rig.store.restore(second);
-    rig.store.put("k", "e", 1, std::nullopt);
-    rig.api.outage = false;
-    rig.sink.news.clear();
-    converge(loop(), rig);
-    CHECK(recorded(rig.sink, "listed 3"));
-    rig.store.put("k", "f", 1, std::nullopt);
-    converge(loop(), rig);
-    CHECK(recorded(rig.sink, "set f"));
+    FollowerFixture fixture;
+    fixture.rank = std::nullopt;
+    fixture.store.put("k", "a", 1, std::nullopt);
+    const auto first = fixture.store.copy();
+    fixture.store.put("k", "b", 1, std::nullopt);
+    converge(loop(), fixture);
+    fixture.api.outage = true;
+    fixture.store.restore(first);
+    fixture.store.put("k", "c", 1, std::nullopt);
+    const auto second = fixture.store.copy();
+    fixture.store.put("k", "d", 1, std::nullopt);
+    loop().run(fixture.follower->step());
+    fixture.store.restore(second);
+    fixture.store.put("k", "e", 1, std::nullopt);
+    fixture.api.outage = false;
+    fixture.sink.updates.clear();
+    converge(loop(), fixture);
+    CHECK(recorded(fixture.sink, "listed 3"));
+    fixture.store.put("k", "f", 1, std::nullopt);
+    converge(loop(), fixture);
+    CHECK(recorded(fixture.sink, "set f"));
 }
 
 TEST(StoreRestore, ARouterStartedAfterTheRestoreAppliesWhatIsWrittenAgain)
 {
-    FollowerRig rig;
-    rig.rank = std::nullopt;
-    rig.store.put("k", "a", 1, std::nullopt);
-    const auto copy = rig.store.copy();
-    rig.store.put("k", "b", 1, std::nullopt);
-    rig.store.restore(copy);
-    converge(loop(), rig);
-    CHECK(recorded(rig.sink, "listed 1"));
-    CHECK(!recorded(rig.sink, "restored"));
-    rig.store.put("k", "b", 1, std::nullopt);
-    converge(loop(), rig);
-    CHECK(recorded(rig.sink, "set b"));
+    FollowerFixture fixture;
+    fixture.rank = std::nullopt;
+    fixture.store.put("k", "a", 1, std::nullopt);
+    const auto copy = fixture.store.copy();
+    fixture.store.put("k", "b", 1, std::nullopt);
+    fixture.store.restore(copy);
+    converge(loop(), fixture);
+    CHECK(recorded(fixture.sink, "listed 1"));
+    CHECK(!recorded(fixture.sink, "restored"));
+    fixture.store.put("k", "b", 1, std::nullopt);
+    converge(loop(), fixture);
+    CHECK(recorded(fixture.sink, "set b"));
 }
 
 TEST(StoreRestore, AFollowerWithARestorePauseListsOnlyAfterIt)
 {
-    FollowerRig rig;
-    rig.options.shared = nullptr;
-    rig.options.restorePause = Millis(30);
-    rig.follower = std::make_unique<Follower<RecordingSink>>(rig.api, "k", rig.sink, rig.options);
-    const auto copy = rig.store.copy();
-    rig.store.put("k", "a", 1, std::nullopt);
-    converge(loop(), rig);
-    rig.store.restore(copy);
-    rig.sink.news.clear();
-    CHECK(loop().run(rig.follower->step()));
-    CHECK(loop().run(rig.follower->step()) || true);
-    CHECK(!recorded(rig.sink, "listed 0"));
-    rig.store.put("k", "a", 1, std::nullopt);
-    converge(loop(), rig);
-    CHECK(recorded(rig.sink, "listed 1"));
-    CHECK(!recorded(rig.sink, "listed 0"));
+    FollowerFixture fixture;
+    fixture.options.sharedReplica = nullptr;
+    fixture.options.relistDelayAfterRestore = Millis(30);
+    fixture.follower = std::make_unique<Follower<RecordingSink>>(fixture.api, "k", fixture.sink, fixture.options);
+    const auto copy = fixture.store.copy();
+    fixture.store.put("k", "a", 1, std::nullopt);
+    converge(loop(), fixture);
+    fixture.store.restore(copy);
+    fixture.sink.updates.clear();
+    CHECK(loop().run(fixture.follower->step()));
+    CHECK(loop().run(fixture.follower->step()) || true);
+    CHECK(!recorded(fixture.sink, "listed 0"));
+    fixture.store.put("k", "a", 1, std::nullopt);
+    converge(loop(), fixture);
+    CHECK(recorded(fixture.sink, "listed 1"));
+    CHECK(!recorded(fixture.sink, "listed 0"));
 }
 
 TEST(StoreRestore, AnOlderConfigurationIsNotApplied)
 {
-    ControlRig rig;
-    rig.start(loop());
+    ControlFixture fixture;
+    fixture.start(loop());
     Findings findings;
-    rig.published.apply(*platform::ObjectCodec::configuration(entryConfiguration(7), findings));
-    rig.published.apply(*platform::ObjectCodec::configuration(entryConfiguration(3), findings));
-    LONGS_EQUAL(7, rig.published.configuration()->version);
+    fixture.published.apply(*platform::ObjectCodec::configuration(entryConfiguration(7), findings));
+    fixture.published.apply(*platform::ObjectCodec::configuration(entryConfiguration(3), findings));
+    LONGS_EQUAL(7, fixture.published.configuration()->version);
 }
 
-TEST(StoreRestore, ARemovedEndpointListedByTheCopyIsUnusedUntilItIsKnownToRun)
+TEST(StoreRestore, ARemovedEndpointListedByTheBackupIsUnusedUntilItIsKnownToRun)
 {
-    ControlRig rig;
-    rig.start(loop());
-    const auto copy = rig.store.copy();
-    rig.store.remove("servers", "i-north", std::nullopt);
-    CHECK(loop().run(rig.control.stepEndpoints()));
-    CHECK((rig.takers() == std::set<std::string>{"i-south"}));
-    rig.store.restore(copy);
+    ControlFixture fixture;
+    fixture.start(loop());
+    const auto copy = fixture.store.copy();
+    fixture.store.remove("servers", "i-north", std::nullopt);
+    CHECK(loop().run(fixture.control.stepEndpoints()));
+    CHECK((fixture.placementTargets() == std::set<std::string>{"i-south"}));
+    fixture.store.restore(copy);
     for (int i = 0; i < stepsToConverge; ++i) {
-        loop().run(rig.control.stepEndpoints());
+        loop().run(fixture.control.stepEndpoints());
     }
-    CHECK((rig.takers() == std::set<std::string>{"i-south"}));
-    rig.published.dropLapsed(Clock::now() + entry::restoreSettles);
-    CHECK((rig.takers() == std::set<std::string>{"i-north", "i-south"}));
+    CHECK((fixture.placementTargets() == std::set<std::string>{"i-south"}));
+    fixture.published.endExpiredRetention(Clock::now() + entry::restoreSettleTime);
+    CHECK((fixture.placementTargets() == std::set<std::string>{"i-north", "i-south"}));
 }
 
-TEST(StoreRestore, AnEndpointAddedAfterTheCopyIsKeptUntilItsEntryHasLapsed)
+TEST(StoreRestore, AnEndpointAddedAfterTheBackupIsKeptUntilItsEntryHasExpired)
 {
-    ControlRig rig;
-    rig.start(loop());
-    const auto copy = rig.store.copy();
-    rig.store.put("servers", "i-new", entryAt("10.0.0.3:80"), std::nullopt);
-    CHECK(loop().run(rig.control.stepEndpoints()));
-    rig.store.restore(copy);
+    ControlFixture fixture;
+    fixture.start(loop());
+    const auto copy = fixture.store.copy();
+    fixture.store.put("servers", "i-new", endpointEntryAt("10.0.0.3:80"), std::nullopt);
+    CHECK(loop().run(fixture.control.stepEndpoints()));
+    fixture.store.restore(copy);
     const std::set<std::string> all{"i-new", "i-north", "i-south"};
     for (int i = 0; i < stepsToConverge; ++i) {
-        loop().run(rig.control.stepEndpoints());
-        CHECK(rig.takers() == all);
+        loop().run(fixture.control.stepEndpoints());
+        CHECK(fixture.placementTargets() == all);
     }
-    rig.published.dropLapsed(Clock::now() + entry::lapsedKeptFor);
-    CHECK((rig.takers() == std::set<std::string>{"i-north", "i-south"}));
+    fixture.published.endExpiredRetention(Clock::now() + entry::expiredEntryRetention);
+    CHECK((fixture.placementTargets() == std::set<std::string>{"i-north", "i-south"}));
 }
 
 TEST(StoreRestore, AnEvacuationLostByTheStoreStaysInForceUntilRewrittenOrMissingForLong)
 {
-    ControlRig rig;
-    rig.start(loop());
-    CHECK(loop().run(rig.control.stepEvacuations()));
-    const auto copy = rig.store.copy();
+    ControlFixture fixture;
+    fixture.start(loop());
+    CHECK(loop().run(fixture.control.stepEvacuations()));
+    const auto copy = fixture.store.copy();
     const std::set<std::string> south{"i-south"};
     for (int round = 0; round < 2; ++round) { // the second restore follows right after the first
-        rig.store.put(platform::ObjectCodec::evacuationKind, "north", nlohmann::json::object(), std::nullopt);
-        loop().run(rig.control.stepEvacuations());
-        rig.store.restore(copy);
+        fixture.store.put(platform::ObjectCodec::evacuationKind, "north", nlohmann::json::object(), std::nullopt);
+        loop().run(fixture.control.stepEvacuations());
+        fixture.store.restore(copy);
         for (int i = 0; i < stepsToConverge; ++i) {
-            loop().run(rig.control.stepEvacuations());
-            CHECK(rig.takers() == south);
+            loop().run(fixture.control.stepEvacuations());
+            CHECK(fixture.placementTargets() == south);
         }
     }
-    rig.published.dropLapsed(Clock::now() + entry::restoreSettles);
-    CHECK((rig.takers() == std::set<std::string>{"i-north", "i-south"}));
+    fixture.published.endExpiredRetention(Clock::now() + entry::restoreSettleTime);
+    CHECK((fixture.placementTargets() == std::set<std::string>{"i-north", "i-south"}));
 }
 
 TEST(StoreRestore, AnEvacuationRemovedAfterTheRestoreEndsAtOnce)
 {
-    ControlRig rig;
-    rig.start(loop());
-    CHECK(loop().run(rig.control.stepEvacuations()));
-    rig.store.put(platform::ObjectCodec::evacuationKind, "north", nlohmann::json::object(), std::nullopt);
-    const auto copy = rig.store.copy();
-    rig.store.remove(platform::ObjectCodec::evacuationKind, "north", std::nullopt);
-    CHECK(loop().run(rig.control.stepEvacuations()));
-    rig.store.restore(copy);
+    ControlFixture fixture;
+    fixture.start(loop());
+    CHECK(loop().run(fixture.control.stepEvacuations()));
+    fixture.store.put(platform::ObjectCodec::evacuationKind, "north", nlohmann::json::object(), std::nullopt);
+    const auto copy = fixture.store.copy();
+    fixture.store.remove(platform::ObjectCodec::evacuationKind, "north", std::nullopt);
+    CHECK(loop().run(fixture.control.stepEvacuations()));
+    fixture.store.restore(copy);
     for (int i = 0; i < stepsToConverge; ++i) {
-        loop().run(rig.control.stepEvacuations());
+        loop().run(fixture.control.stepEvacuations());
     }
-    CHECK((rig.takers() == std::set<std::string>{"i-south"})); // the copy contains the evacuation
-    rig.store.remove(platform::ObjectCodec::evacuationKind, "north", std::nullopt);
-    CHECK(loop().run(rig.control.stepEvacuations()));
-    CHECK((rig.takers() == std::set<std::string>{"i-north", "i-south"}));
+    CHECK((fixture.placementTargets() == std::set<std::string>{"i-south"})); // the backup contains the evacuation
+    fixture.store.remove(platform::ObjectCodec::evacuationKind, "north", std::nullopt);
+    CHECK(loop().run(fixture.control.stepEvacuations()));
+    CHECK((fixture.placementTargets() == std::set<std::string>{"i-north", "i-south"}));
 }
