--- a/emulators/bench.cpp
+++ b/emulators/bench.cpp
@@ -358,24 +358,24 @@
 {
     Scenario s;
     const poptOption table[] = {
-        {"routers", 'r', POPT_ARG_INT, &s.routers, 0, "routers, each seeing a sliver of the traffic", "N"},
+        {"routers", 'r', POPT_ARG_INT, &s.routers, 0, "routers, each of which receives a fraction of the traffic", "N"},
         {"engines", 'e', POPT_ARG_INT, &s.engines, 0, "engines in the pool", "N"},
         {"workspaces", 'w', POPT_ARG_INT, &s.workspaces, 0, "workspaces", "N"},
         {"conversations", 'c', POPT_ARG_INT, &s.conversations, 0, "returning conversations", "N"},
-        {"rate", 0, POPT_ARG_INT, &s.ratePerS, 0, "requests a second, all routers together", "N"},
-        {"seconds", 's', POPT_ARG_INT, &s.seconds, 0, "virtual seconds", "S"},
-        {"inflight-ms", 0, POPT_ARG_INT, &s.inflightMs, 0, "mean time of a request on its engine", "MS"},
-        {"cache-blocks", 0, POPT_ARG_INT, &s.cacheBlocks, 0, "prefix cache of an engine", "N"},
+        {"rate", 0, POPT_ARG_INT, &s.ratePerS, 0, "requests per second over all routers", "N"},
+        {"seconds", 's', POPT_ARG_INT, &s.seconds, 0, "duration in seconds of virtual time", "S"},
+        {"inflight-ms", 0, POPT_ARG_INT, &s.inflightMs, 0, "mean duration of a request on its engine after the first token", "MS"},
+        {"cache-blocks", 0, POPT_ARG_INT, &s.cacheBlocks, 0, "capacity of an engine's prefix cache in blocks", "N"},
         {"churn-every", 0, POPT_ARG_INT, &s.churnEveryS, 0, "seconds between engine replacements (0: none)", "S"},
         POPT_AUTOHELP POPT_TABLEEND,
     };
-    poptContext ctx = poptGetContext("yucca-router bench", argc, argv, table, 0);
+    poptContext ctx = poptGetContext("yucca-sim bench", argc, argv, table, 0);
     int rc;
     while ((rc = poptGetNextOpt(ctx)) > 0) { }
     poptFreeContext(ctx);
     if (rc < -1 || s.routers < 1 || s.engines < 1 || s.workspaces < 1 || s.conversations < s.workspaces || s.ratePerS < 1 || s.seconds < 3
         || s.inflightMs < 1) {
-        fprintf(stderr, "yucca-router bench: bad arguments\n");
+        fprintf(stderr, "yucca-sim bench: invalid arguments\n");
         return 2;
     }
     printf("%d routers, %d engines, %d workspaces, %d conversations, %d requests/s, %d s\n", s.routers, s.engines, s.workspaces, s.conversations, s.ratePerS,
--- a/emulators/endpoint_main.cpp
+++ b/emulators/endpoint_main.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Waits for the stop signal. The endpoint then continues to serve for the linger time, so that its callers can learn
+// Waits for the stop signal. The endpoint then continues to serve for stopDelay, so that its callers can learn
 // that it is leaving.
 Task<void> stopGracefully(emulators::EndpointServer &endpoint, http::Server &server, Millis stopDelay)
 {
@@ -40,20 +40,21 @@
     char *backoffViolationLog = nullptr;
     char *crashBody = nullptr;
     const poptOption own[] = {
-        {"id", 0, POPT_ARG_STRING, &id, 0, "the endpoint's id", "ID"},
-        {"service", 0, POPT_ARG_STRING, &service, 0, "the service it belongs to", "NAME"},
+        {"id", 0, POPT_ARG_STRING, &id, 0, "endpoint id", "ID"},
+        {"service", 0, POPT_ARG_STRING, &service, 0, "service that the endpoint belongs to", "NAME"},
         {"port", 'p', POPT_ARG_INT, &port, 0, "listen port", "PORT"},
-        {"store-port", 0, POPT_ARG_INT, &storePort, 0, "the object store's port", "PORT"},
-        {"work-ms", 0, POPT_ARG_INT, &workMs, 0, "of a plain call", "MS"},
-        {"advertise", 0, POPT_ARG_INT, &advertisedPort, 0, "the port that callers are told, where a proxy stands before it", "PORT"},
-        {"run-log", 0, POPT_ARG_STRING, &runLog, 0, "a file that gets the id of each request before it runs", "FILE"},
-        {"rest-log", 0, POPT_ARG_STRING, &backoffViolationLog, 0, "a file that gets the senders that go on in spite of a rest that was asked for", "FILE"},
-        {"ends-under", 0, POPT_ARG_STRING, &crashBody, 0, "a request with this body ends the process", "BODY"},
-        {"zone", 0, POPT_ARG_STRING, &zone, 0, "its failure domain", "NAME"},
-        {"cold-ms", 0, POPT_ARG_INT, &coldMs, 0, "it is cold for so long after its start", "MS"},
-        {"cold-most", 0, POPT_ARG_INT, &options.maxColdRequestsPerS, 0, "requests in a second that it bears while it is cold; more end the process", "N"},
-        {"streams", 0, POPT_ARG_NONE, &streams, 0, "answer with event streams", nullptr},
-        {"events", 0, POPT_ARG_INT, &options.events, 0, "events of a stream", "N"},
+        {"store-port", 0, POPT_ARG_INT, &storePort, 0, "port of the object store", "PORT"},
+        {"work-ms", 0, POPT_ARG_INT, &workMs, 0, "duration of a request that is not streamed", "MS"},
+        {"advertise", 0, POPT_ARG_INT, &advertisedPort, 0, "registered port, for an endpoint behind a proxy (0: the listen port)", "PORT"},
+        {"run-log", 0, POPT_ARG_STRING, &runLog, 0, "file to which the id of each request is written before the request runs", "FILE"},
+        {"rest-log", 0, POPT_ARG_STRING, &backoffViolationLog, 0, "file that lists the senders which did not respect Retry-After", "FILE"},
+        {"ends-under", 0, POPT_ARG_STRING, &crashBody, 0, "a request with this body crashes the endpoint", "BODY"},
+        {"zone", 0, POPT_ARG_STRING, &zone, 0, "failure domain of the endpoint", "NAME"},
+        {"cold-ms", 0, POPT_ARG_INT, &coldMs, 0, "how long the endpoint is cold after its start", "MS"},
+        {"cold-most", 0, POPT_ARG_INT, &options.maxColdRequestsPerS, 0,
+         "limit of requests while cold: N per second begun, counted since the start; more crash the endpoint", "N"},
+        {"streams", 0, POPT_ARG_NONE, &streams, 0, "respond with event streams", nullptr},
+        {"events", 0, POPT_ARG_INT, &options.events, 0, "number of events in a stream", "N"},
         POPT_TABLEEND,
     };
     std::vector<std::string> rest;
--- a/emulators/endpoint_server.cpp
+++ b/emulators/endpoint_server.cpp
@@ -24,7 +24,7 @@
     return text;
 }
 
-// Returns the router in a request id of a soak run, which has the form TEXT-ROUTER-NUMBER, or an empty text.
+// Returns the router in a request id of a soak run, which has the form TEXT-ROUTER-NUMBER, or an empty string.
 std::string senderFromRequestId(const std::string &requestId)
 {
     const auto first = requestId.find('-');
@@ -107,7 +107,7 @@
     return std::max(Millis(0), std::chrono::ceil<Millis>(m_startedAt + m_options.coldFor - Clock::now()));
 }
 
-// Crashes the endpoint if a cold endpoint has received too many requests. The limit counts all requests since the
+// Crashes the endpoint if it is cold and has received too many requests. The limit counts all requests since the
 // start: delayed requests may arrive together, so a count per second could exceed the rate at which they were sent.
 void EndpointServer::checkColdLimit()
 {
--- a/emulators/endpoint_server.h
+++ b/emulators/endpoint_server.h
@@ -27,7 +27,7 @@
     uint16_t advertisedPort = 0; ///< registered port, for an endpoint behind a proxy; 0: the listen port
     std::string crashBody; ///< a request with this body crashes the endpoint while it runs; empty: none
     Millis coldFor{0}; ///< how long the endpoint is cold after its start
-    int maxColdRequestsPerS = 0; ///< requests per second that a cold endpoint withstands; more of them crash it
+    int maxColdRequestsPerS = 0; ///< limit while cold: this many per second begun, counted since the start; more crash the endpoint
     std::string backoffViolationLog; ///< file that lists the senders which did not respect Retry-After; empty: none
     std::string runLog; ///< file that lists the id of each request before it runs; empty: none
     Millis heartbeatInterval{500}; ///< between two updates of the entry in the store
@@ -65,7 +65,7 @@
     }
 
 private:
-    /// The time in which a sender should send nothing, because it received Retry-After.
+    /// The time during which a sender should send no requests, because it received Retry-After.
     struct BackoffPeriod {
         Clock::time_point from;
         Clock::time_point until;
--- a/emulators/engine_server.cpp
+++ b/emulators/engine_server.cpp
@@ -185,7 +185,7 @@
     return g;
 }
 
-// Handles one chat completion: waits for a decode slot, reads the prompt, then generates the tokens.
+// Handles one chat completion: waits for a decode slot, prefills the prompt, then generates the tokens.
 Task<void> EngineServer::handleChat(http::Exchange &ex)
 {
     recordArrival();
@@ -212,7 +212,7 @@
     updateInflight(-1);
 }
 
-// Reads the part of the prompt that is not cached, and generates the response.
+// Prefills the part of the prompt that is not cached, and generates the response.
 Task<void> EngineServer::generate(http::Exchange &ex, Generation &g)
 {
     const std::size_t cachedBlocks = m_cache.match(g.blocks);
--- a/emulators/experiment_events.cpp
+++ b/emulators/experiment_events.cpp
@@ -141,7 +141,7 @@
     }
 }
 
-// Moves a class of requests to another pool by a conditional write to the catalogue, as yucca-ctl does.
+// Moves a work class to another pool by a conditional write to the catalogue, as yucca-ctl does.
 Task<void> Experiment::migrate()
 {
     auto current = co_await m_platform.get("class", m_options.migrateClass, platform::Freshness::Current);
--- a/emulators/load_main.cpp
+++ b/emulators/load_main.cpp
@@ -128,13 +128,13 @@
         {"drain-at", 0, POPT_ARG_INT, &o.drainAtS, 0, "second of the run when --drain-engine leaves", "S"},
         {"drain-engine", 0, POPT_ARG_STRING, &drainEngine, 0, "engine that leaves mid-run", "ID"},
         {"migrate-at", 0, POPT_ARG_INT, &o.migrateAtS, 0, "second of the run when --migrate-class moves", "S"},
-        {"migrate-class", 0, POPT_ARG_STRING, &migrateClass, 0, "class of work that moves to another pool", "NAME"},
-        {"migrate-pool", 0, POPT_ARG_STRING, &migratePool, 0, "the pool it moves to", "POOL"},
-        {"churn-every", 0, POPT_ARG_INT, &o.churnEveryS, 0, "seconds between engines that leave and come back empty", "S"},
+        {"migrate-class", 0, POPT_ARG_STRING, &migrateClass, 0, "work class that moves to another pool", "NAME"},
+        {"migrate-pool", 0, POPT_ARG_STRING, &migratePool, 0, "pool that --migrate-class moves to", "POOL"},
+        {"churn-every", 0, POPT_ARG_INT, &o.churnEveryS, 0, "interval in seconds at which one engine leaves and returns with an empty cache (0: never)", "S"},
         {"surge-at", 0, POPT_ARG_INT, &o.surgeAtS, 0, "second of the run when three workspaces surge", "S"},
         {"surge-conversations", 0, POPT_ARG_INT, &o.surgeConversations, 0, "conversations the surge adds", "N"},
         {"outage-at", 0, POPT_ARG_INT, &o.outageAtS, 0, "second of the run when the object API goes down", "S"},
-        {"outage-for", 0, POPT_ARG_INT, &o.outageForS, 0, "seconds it stays down", "S"},
+        {"outage-for", 0, POPT_ARG_INT, &o.outageForS, 0, "duration of the outage in seconds", "S"},
         POPT_TABLEEND,
     };
     if (auto rc = cli::parse("yucca-load", argc, argv, own, common, rest)) {
--- a/emulators/model/fleet.cpp
+++ b/emulators/model/fleet.cpp
@@ -70,7 +70,7 @@
     makeSources();
 }
 
-// Converts virtual time for the routing code. It starts well after the epoch, which means "never" there.
+// Converts virtual time for the routing code. The result is well after the clock's epoch, which means "never" there.
 Clock::time_point Fleet::clockTime(Ms ms)
 {
     return Clock::time_point(std::chrono::hours(1)) + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double, std::milli>(ms));
--- a/emulators/model/play.cpp
+++ b/emulators/model/play.cpp
@@ -33,8 +33,8 @@
     int asJson = 0;
     const poptOption options[] = {
         {"policy", 0, POPT_ARG_STRING, &policyName, 0, "policy for model engines: home (the default), affinity, bounded, leastloaded, roundrobin", "POLICY"},
-        {"seed", 0, POPT_ARG_INT, &seed, 0, "another seed than the scenario's", "N"},
-        {"rate", 0, POPT_ARG_DOUBLE, &rate, 0, "times the kinds' own rates", "X"},
+        {"seed", 0, POPT_ARG_INT, &seed, 0, "random seed (overrides the scenario)", "N"},
+        {"rate", 0, POPT_ARG_DOUBLE, &rate, 0, "factor on the rates of all kinds (overrides the scenario)", "X"},
         {"json", 0, POPT_ARG_NONE, &asJson, 0, "print the outcome as JSON", nullptr},
         POPT_AUTOHELP POPT_TABLEEND,
     };
--- a/emulators/soak/endings.cpp
+++ b/emulators/soak/endings.cpp
@@ -11,7 +11,7 @@
 {
 
 constexpr Millis restartDelay{1000}; ///< between an endpoint's crash and its restart
-/// Time bounds do not apply to routers this long after a disturbance of a router or the store.
+/// Time bounds do not apply to routers for this long after a disturbance of a router or the store.
 constexpr Millis recoveryTime{3000};
 constexpr std::size_t maxCrashes = 3; ///< after these, routers must quarantine the request
 constexpr std::size_t maxLateCrashes = 3; ///< crashes that may follow the third one by more than recoveryTime
@@ -86,8 +86,8 @@
     }
 }
 
-// Checks after the last fault that every router rejects the request, or does so once as many endpoints as allowed
-// have crashed.
+// Checks after the last fault that the routers reject the request after at most the allowed number of further crashes,
+// and that few crashes of the whole run were late.
 Task<void> SoakFleet::checkCrashLimit()
 {
     const auto before = m_crashes.size();
--- a/emulators/soak/fleet.h
+++ b/emulators/soak/fleet.h
@@ -50,7 +50,7 @@
         std::unique_ptr<Proxy> storeProxy; ///< between the router and the store
         std::string settingsFile;
         bool stopped = false; ///< by the test, so that its exit is no violation
-        int generation = 0; ///< changes with each start and pause: the router may not know what an earlier one received
+        int generation = 0; ///< changes with each start and pause: the router may not know what an earlier generation received
     };
     /// A period in which an endpoint's responses may not have reached the routers.
     struct DisturbedPeriod {
--- a/emulators/soak/plan.h
+++ b/emulators/soak/plan.h
@@ -64,10 +64,10 @@
 
 /// One fault of a plan.
 struct Step {
-    Millis at{}; ///< start, from the start of the plan
+    Millis at{}; ///< start time, relative to the start of the plan
     Fault fault = Fault::RouterKilled;
     std::size_t target = 0; ///< index of the router, endpoint or failure domain
-    Disturbance disturbance = Disturbance::None; ///< for the faults ...Disturbed
+    Disturbance disturbance = Disturbance::None; ///< for the faults whose names end in Disturbed
     Millis duration{};
     bool operator==(const Step &) const = default;
 };
--- a/include/yucca/observed_load.h
+++ b/include/yucca/observed_load.h
@@ -66,7 +66,7 @@
 double meanLoad(const std::vector<ObservedLoad> &loads, const Usable &usable, TimePoint now, std::chrono::duration<double> lifetime,
                 MissingReport missingReport);
 
-/// A member's rank in a key's rendezvous order. The member with the highest rank is the key's home.
+/// A member's score in a key's rendezvous order. The member with the highest score is the key's home.
 uint64_t rendezvousScoreOf(const std::string &memberId, uint64_t key);
 
 /// The members of a pool with their observed loads. Base class of the load-based policies.
--- a/include/yucca/types.h
+++ b/include/yucca/types.h
@@ -53,7 +53,7 @@
 enum class Outcome {
     Done, ///< completed
     NotRun, ///< not executed; safe to retry after Retry-After
-    Unknown, ///< possibly executed; a retry with the same key returns the stored answer or waits for it
+    Unknown, ///< possibly executed; a retry with the same key returns the stored response or waits for it
 };
 
 /// A table that maps the values of an enum to their names on the wire.
--- a/src/admission.h
+++ b/src/admission.h
@@ -53,7 +53,7 @@
 
 /// Limits retries to a share of the requests, so that retries do not flood a failing pool. Counts over a sliding
 /// window, so that retries unused while a router was healthy are available when an endpoint fails. A token bucket
-/// limited to the reserve would refuse many permitted retries after a large crash.
+/// that holds only minRetries tokens would refuse many permitted retries after a large crash.
 class RetryBudget
 {
 public:
--- a/src/background_tasks.cpp
+++ b/src/background_tasks.cpp
@@ -29,7 +29,7 @@
     return {{"kind", order.kind}, {"argument", order.argument}, {"fence", fence}, {"holder", holder}};
 }
 
-// Maps the HTTP status of an engine's answer to an order. After a 5xx the engine may have acted.
+// Maps the HTTP status of an engine's response to an order. After a 5xx the engine may have acted.
 orders::SendResult resultForStatus(unsigned status)
 {
     if (status == 200) {
@@ -41,7 +41,7 @@
     return status >= 500 ? orders::SendResult::Unknown : orders::SendResult::NotSent;
 }
 
-// Applies what the headers of an engine's answer say about the engine: a request to back off, or that it is leaving.
+// Applies what the headers of an engine's response say about the engine: a request to back off, or that it is leaving.
 void applyEngineHeaders(router::RoutingTable &table, const Endpoint &engine, const http::Reply &reply)
 {
     const auto backOff = http::requestedBackOff(reply.status, reply.header("Retry-After"));
@@ -163,7 +163,7 @@
 Task<void> BackgroundTasks::sendOrders()
 {
     const auto snapshot = m_control.snapshot();
-    std::set<std::string> stillSettled; // only orders that are still wanted, so that the set does not grow
+    std::set<std::string> stillSettled; // only orders that are still desired, so that the set does not grow
     for (const auto &order : desiredOrders(*snapshot)) {
         const std::string key = order.engine + "/" + order.id;
         if (m_settledOrders.count(key)) {
--- a/src/background_tasks.h
+++ b/src/background_tasks.h
@@ -20,7 +20,7 @@
 
 inline constexpr const char *leaseName = "duties";
 
-/// True when an idempotency record is older than retentionS seconds at the Unix
+/// True if an idempotency record is older than retentionS seconds at the Unix
 /// time nowS. Records without an outcome are kept, because an operator settles them.
 bool isExpired(const nlohmann::json &record, int64_t nowS, int64_t retentionS);
 
@@ -37,12 +37,12 @@
 
     /// Calls step() several times per lease duration until stop() is called, then releases the lease.
     Task<void> run();
-    /// Asks run() to return; from its thread.
+    /// Asks run() to return. Must be called on the thread of run().
     void stop()
     {
         m_stopping = true;
     }
-    /// Takes or renews the lease, sends the wanted orders while it is held, and sweeps expired records when due.
+    /// Takes or renews the lease, sends the desired orders while it is held, and sweeps expired records when due.
     Task<void> step();
 
 private:
--- a/src/catalogue.h
+++ b/src/catalogue.h
@@ -48,7 +48,7 @@
 struct Evacuation {
     bool active = false;
     std::string author; ///< the operator who gave or revoked the order
-    int64_t since = 0; ///< Unix time of that, in seconds
+    int64_t since = 0; ///< Unix time at which the order was given or revoked, in seconds
 };
 
 /// Parses a workspace entry's value. Problems are added to findings, with JSON paths that begin with path.
--- a/src/change_exchange.h
+++ b/src/change_exchange.h
@@ -12,12 +12,13 @@
 
 /// Limits of the transfers.
 struct ChangeExchangeOptions {
-    /// Answers sent at once. A round of datagrams announces a change to eight routers; a router that is refused queries the store.
+    /// Maximum number of answers sent concurrently. A round of datagrams announces a change to eight routers; a router that is
+    /// refused queries the store.
     int maxConcurrent = 12;
-    /// Large answers sent at once, in addition to the regular ones; they go to routers that the store refuses. A configuration of
-    /// 400 KB takes 0.16 s on a link of 20 Mbit/s.
+    /// Maximum number of large answers sent concurrently, in addition to the regular ones; they go to routers that the store
+    /// refuses. A configuration of 400 KB takes 0.16 s on a link of 20 Mbit/s.
     int maxConcurrentLarge = 2;
-    Millis fetchTimeout{400}; ///< a neighbour answers in 1 ms; a query to the store after this timeout still meets the bound of a change
+    Millis fetchTimeout{400}; ///< a neighbour answers in 1 ms; a query to the store after this timeout still meets the time bound of a change
     Millis fetchLargeTimeout{2000}; ///< longer, because the store refuses this router and no other source is left
     Millis connectTimeout{200};
 };
--- a/src/connect_probe.h
+++ b/src/connect_probe.h
@@ -15,7 +15,7 @@
     Silent, ///< no answer within connectTimeout, another connection error, or an invalid address
 };
 
-/// Opens a connection and waits up to minOpenTime whether the peer closes it.
+/// Opens a connection and waits up to minOpenTime to see whether the peer closes it.
 /// Nothing is sent on the connection.
 Task<Probe> probeConnection(Address to, Millis connectTimeout, Millis minOpenTime);
 
--- a/src/endpoint_refusals.h
+++ b/src/endpoint_refusals.h
@@ -1,5 +1,5 @@
-// Refusals that endpoints stated in their own answers: an endpoint that is leaving or backing off gets no more requests
-// from this router, also while the store's entry is stale or wrong. No I/O.
+// Refusals that endpoints stated in their own responses: an endpoint that is leaving or backing off gets no more
+// requests from this router, also while the store's entry is stale or wrong. No I/O.
 #pragma once
 
 #include "task.h"
@@ -37,7 +37,7 @@
         return m_leaving.count(incarnationKey(endpoint)) > 0;
     }
     /// Records that the endpoint accepts no requests until the given time. The entry is kept by id, so a restarted
-    /// endpoint is also left alone for the rest of that time. Returns true if this starts or extends the back-off.
+    /// endpoint also gets no requests for the rest of that time. Returns true if this starts or extends the back-off.
     bool backOff(const std::string &id, Clock::time_point until);
     /// The end of the endpoint's back-off, or nothing if the endpoint accepts requests.
     std::optional<Clock::time_point> backOffEnd(const std::string &id, Clock::time_point now) const;
--- a/src/entry/configuration.h
+++ b/src/entry/configuration.h
@@ -55,14 +55,14 @@
 /// Capacity of the model engines of a service.
 struct EngineTraits {
     int64_t slots = 1; ///< maximum number of requests in a batch
-    int64_t cacheTokens = 0; ///< size of the memory that running requests and cached prompt parts share
+    int64_t cacheTokens = 0; ///< size, in tokens, of the memory that running requests and cached prompt parts share
 };
 
 /// A pool of endpoints that serves routes.
 struct Service {
     std::string name;
     std::string healthPath;
-    int64_t maxConnections = 100; ///< maximum number of connections to one endpoint from all its callers
+    int64_t maxConnections = 100; ///< maximum number of connections to one endpoint from all its clients
     std::optional<EngineTraits> engine; ///< absent: a service without model engines
     Millis coldDuration{0}; ///< how long an endpoint is cold after its start; 0: cold endpoints are not limited
     double coldPerSecond = 0; ///< requests per second that a cold endpoint can handle
--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -43,8 +43,8 @@
     std::map<std::string, limits::ColdAllowance> allowances;
     for (const auto &[name, service] : configuration.services) {
         if (service.coldDuration > Millis(0)) {
-            const double most = service.coldPerSecond * m_options.coldOvershoot + m_options.coldSlack;
-            allowances[name] = {service.coldDuration, service.coldPerSecond, most};
+            const double maxPerSecond = service.coldPerSecond * m_options.coldOvershoot + m_options.coldSlack;
+            allowances[name] = {service.coldDuration, service.coldPerSecond, maxPerSecond};
         }
     }
     m_table.setColdAllowances(std::move(allowances));
@@ -195,7 +195,8 @@
 bool Published::mustStayExcluded(const Endpoint &endpoint, Clock::time_point now)
 {
     const bool restoring = now < m_restoringUntil;
-    const bool final = endpoint.startedAtMs != 0; // a leaving incarnation never becomes live again; without a start time, the endpoint may have restarted
+    // A leaving incarnation never becomes live again; without a start time, the endpoint may have restarted.
+    const bool hasStartTime = endpoint.startedAtMs != 0;
     const auto held = m_endpoints.find(endpoint.id);
     if (endpoint.state != EndpointState::Live) {
         m_reappeared.erase(endpoint.id);
@@ -203,14 +204,14 @@
     }
     if (held != m_endpoints.end()) {
         const bool left = held->second.state == EndpointState::Leaving && sameIncarnation(held->second, endpoint);
-        return left && (final || restoring);
+        return left && (hasStartTime || restoring);
     }
     const auto removed = m_removed.find(incarnationKey(endpoint));
     if (removed == m_removed.end()) {
         return false;
     }
     if (removed->second.leaving) {
-        return final || restoring;
+        return hasStartTime || restoring;
     }
     if (restoring) {
         m_reappeared.insert(endpoint.id);
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -51,7 +51,7 @@
     Regions regions; ///< region of each failure domain
 };
 
-/// The configuration and the endpoints in force, published by the control thread to the traffic
+/// The configuration and the endpoints in effect, published by the control thread to the traffic
 /// threads. A configuration is never replaced by an older version.
 class Published
 {
@@ -61,7 +61,7 @@
         , m_options(std::move(options))
     {
     }
-    /// Returns the configuration in force; null until the first one is known.
+    /// Returns the configuration in effect; null until the first one is known.
     ConfigurationPtr configuration() const
     {
         return m_configuration.load();
@@ -77,7 +77,7 @@
         return m_endpointsKnown;
     }
 
-    /// Applies a configuration; one that is not newer than the configuration in force is ignored.
+    /// Applies a configuration; one that is not newer than the configuration in effect is ignored.
     void apply(Configuration configuration);
     /// Applies a configuration without a version check; the caller is responsible for the order.
     void applyUnchecked(Configuration configuration);
@@ -104,7 +104,7 @@
     /// stay excluded.
     void onEndpointsRestored(Clock::time_point now);
     /// Called when the store has been restored from a backup: evacuations that it lacks stay
-    /// in force until they have been written again.
+    /// in effect until they have been written again.
     void onEvacuationsRestored(Clock::time_point now);
     /// Ends the retention periods that have passed: removes endpoints that are still missing,
     /// readmits endpoints that are still listed after a restore, and ends evacuations that are
@@ -182,7 +182,7 @@
 /// them again. Backups are seconds old.
 inline constexpr Millis removedRetention{std::chrono::minutes(10)};
 
-inline constexpr Millis storePollInterval{1000}; ///< a change must be in force 2 s after it is made, even if a watch has silently failed
+inline constexpr Millis storePollInterval{1000}; ///< a change must be in effect 2 s after it is made, even if a watch has silently failed
 inline constexpr Millis storeRetryInterval{200}; ///< while the store doesn't answer, so that its return is noticed soon
 
 /// Maximum silence of the store while other routers share its confirmations, which arrive with a
@@ -304,7 +304,7 @@
         void onChange(const platform::Object &object, bool deleted)
         {
             if (deleted || object.name != C::configurationName) {
-                return; // if the configuration is deleted, the last one stays in force
+                return; // if the configuration is deleted, the last one stays in effect
             }
             Findings findings;
             auto parsed = C::configuration(object.value, findings);
@@ -391,7 +391,7 @@
     };
 
     // The name of an evacuation order is its failure domain and its value is not needed: a
-    // malformed order is still in force.
+    // malformed order is still in effect.
     struct EvacuationSink {
         Published &published;
         void onListing(const platform::Listing &listing, platform::Freshness)
@@ -425,7 +425,7 @@
     FollowerOptions followerOptions(replica::SharedReplica *shared)
     {
         FollowerOptions options;
-        options.readPolicy = &m_reads;
+        options.readPolicy = &m_readPolicy;
         options.sharedReplica = shared;
         return options;
     }
@@ -434,7 +434,7 @@
     Published &m_published;
     SharedKinds m_shared;
     bool m_stopping = false;
-    ReadPolicy m_reads;
+    ReadPolicy m_readPolicy;
     ConfigurationSink m_configurationSink;
     EndpointSink m_endpointSink;
     EvacuationSink m_evacuationSink;
--- a/src/entry/entry_metrics.h
+++ b/src/entry/entry_metrics.h
@@ -58,7 +58,7 @@
     uint64_t connectionsOpened = 0; ///< to endpoints, since the start
 };
 
-/// The counters of one traffic thread, and must be used from that thread only. Labels come from
+/// The counters of one traffic thread. They must be used on that thread only. Labels come from
 /// fixed tables only, never from text of callers or operators, so that the number of series is
 /// bounded.
 class Metrics
--- a/src/entry/entry_settings.h
+++ b/src/entry/entry_settings.h
@@ -28,9 +28,9 @@
     double retrySlack = 50; ///< additional extra arrivals in a window, over all routers
     double retryWindowS = 10; ///< length of the window for retryRatio and retrySlack
     double loadFactor = 2.0; ///< maximum load of an engine, as a multiple of the mean load of its service
-    int64_t configurationBoundMs = 2000; ///< time from the acceptance of a configuration by the store until it must be in force
+    int64_t configurationBoundMs = 2000; ///< time from the acceptance of a configuration by the store until it must be in effect
     int64_t drainBoundMs = 2000; ///< time from the store's record that an endpoint leaves until it must get no work
-    int64_t evacuationBoundMs = 0; ///< time from the store's acceptance of an evacuation order until it must be in force; 0: there are no such orders
+    int64_t evacuationBoundMs = 0; ///< time from the store's acceptance of an evacuation order until it must be in effect; 0: there are no such orders
     double coldOvershoot = 1.5; ///< a cold endpoint must never get more than this multiple of the requests that it can handle in a second, plus coldSlack
     double coldSlack = 5; ///< requests a second, over all routers
     Regions regions; ///< region of each failure domain; empty: all are in one region
--- a/src/entry/gateway.h
+++ b/src/entry/gateway.h
@@ -307,7 +307,7 @@
             break;
         }
         if (quarantineRemaining(state.profile, now)) {
-            break; // an endpoint has crashed under this content in the meantime
+            break; // meanwhile, an endpoint crashed while it ran this content
         }
         const auto endpoint = m_table.acquire(state.service, state.profile.affinity, state.tried, now, state.constraints);
         if (!endpoint) {
@@ -393,8 +393,8 @@
         retryAfter = quarantineLeft;
     } else if (earliestBackOffEnd) {
         why = Rejection::BackingOff;
-        // If the back-off ends after the deadline, only another router can help: its requests may
-        // be accepted there.
+        // If the back-off ends after the deadline, only another router can help: that router's
+        // requests may be accepted there.
         retryAfter = *earliestBackOffEnd < state.profile.deadline ? std::optional(std::chrono::ceil<Millis>(*earliestBackOffEnd - now)) : std::nullopt;
     } else if (state.count.arrivals > 0) {
         why = Rejection::NotExecuted;
--- a/src/entry/gateway_attempt.h
+++ b/src/entry/gateway_attempt.h
@@ -19,8 +19,8 @@
     if (!repeatable(route) || state.count.runs + 1 >= route.maxAttempts) {
         return end;
     }
-    const auto patience = Millis(static_cast<int64_t>(static_cast<double>(route.targetLatency.count()) * m_options.responseTimeoutFactor));
-    return std::min(now + patience, now + (end - now) / 2);
+    const auto responseTimeout = Millis(static_cast<int64_t>(static_cast<double>(route.targetLatency.count()) * m_options.responseTimeoutFactor));
+    return std::min(now + responseTimeout, now + (end - now) / 2);
 }
 
 // Selects whether a request may use a keep-alive connection. If the peer has closed or dropped that
@@ -52,13 +52,13 @@
 
 template <Dialect D> void Gateway<D>::cancelAttemptsAtRestarted()
 {
-    std::vector<RequestState *> ended;
+    std::vector<RequestState *> affected;
     for (const auto &[state, endpoint] : m_attempts) {
         if (!m_table.isCurrentIncarnation(endpoint)) {
-            ended.push_back(state);
+            affected.push_back(state);
         }
     }
-    for (auto *state : ended) {
+    for (auto *state : affected) {
         if (m_attempts.count(state)) { // cancelling one attempt may have ended another
             state->endpointRestarted = true;
             state->cancellation.cancel();
@@ -218,10 +218,10 @@
         auto headers = m_dialect.responseHeaders(response, state.profile, endpoint);
         co_await ex.beginStream(response.status(), "", std::move(headers));
     }
-    const auto patience = Millis(static_cast<int64_t>(static_cast<double>(route.eventGapTarget.count()) * m_options.eventGapTimeoutFactor));
+    const auto eventGapTimeout = Millis(static_cast<int64_t>(static_cast<double>(route.eventGapTarget.count()) * m_options.eventGapTimeoutFactor));
     const bool mayResume = repeatable(route) && state.count.runs + 1 < route.maxAttempts;
     for (;;) {
-        response.setDeadline(mayResume ? std::min(state.profile.responseDeadline, Clock::now() + patience) : state.profile.responseDeadline);
+        response.setDeadline(mayResume ? std::min(state.profile.responseDeadline, Clock::now() + eventGapTimeout) : state.profile.responseDeadline);
         auto read = co_await response.read();
         if (ex.callerDisconnected()) {
             co_return AttemptEnd::CallerGone;
@@ -234,12 +234,12 @@
         if (bytes.empty()) {
             break;
         }
-        std::string whole;
+        std::string completeEvents;
         for (auto &event : state.events.push(bytes)) {
-            whole += event;
+            completeEvents += event;
         }
-        if (!whole.empty()) {
-            const bool delivered = co_await ex.sendChunk(std::move(whole));
+        if (!completeEvents.empty()) {
+            const bool delivered = co_await ex.sendChunk(std::move(completeEvents));
             if (!delivered) {
                 co_return AttemptEnd::CallerGone;
             }
@@ -248,8 +248,8 @@
             co_return AttemptEnd::Broken;
         }
     }
-    const bool whole = D::streamsHaveTerminalEvent ? state.events.isComplete() : !state.events.hasPartialEvent();
-    if (!whole) {
+    const bool complete = D::streamsHaveTerminalEvent ? state.events.isComplete() : !state.events.hasPartialEvent();
+    if (!complete) {
         state.events.discardPartialEvent();
         co_return AttemptEnd::Broken; // the stream ended early without a transport error
     }
--- a/src/entry/outlier_detector.cpp
+++ b/src/entry/outlier_detector.cpp
@@ -69,9 +69,9 @@
         own.ejections = 0;
     }
     constexpr int maxDoublings = 8;
-    const Millis pause = std::min(m_options.baseEjectionTime * (1 << std::min(own.ejections, maxDoublings)), m_options.maxEjectionTime);
+    const Millis ejectionTime = std::min(m_options.baseEjectionTime * (1 << std::min(own.ejections, maxDoublings)), m_options.maxEjectionTime);
     ++own.ejections;
-    own.ejectedUntil = now + pause;
+    own.ejectedUntil = now + ejectionTime;
     own.succeeded = 0; // after its return, only new outcomes count
     own.failed = 0;
     return Ejection{own.ejectedUntil, rate, othersRate};
--- a/src/entry/outlier_detector.h
+++ b/src/entry/outlier_detector.h
@@ -16,7 +16,7 @@
 struct OutlierOptions {
     std::chrono::duration<double> halfLife{3.0}; ///< of the outcome counts: a fault that lasts seconds must be detected within seconds
     double minRequests = 4; ///< minimum decayed number of requests for a decision
-    double minFailureRate = 0.35; ///< minimum failure rate for an ejection: plain calls normally fail up to 0.14 of the time
+    double minFailureRate = 0.35; ///< minimum failure rate for an ejection: the normal failure rate of plain calls is up to 0.14
     double margin = 0.25; ///< required excess over the failure rate of the others: a failure of all endpoints is not the fault of one
     Millis baseEjectionTime{1500}; ///< doubled by each consecutive ejection
     Millis maxEjectionTime{8000};
--- a/src/entry/process.h
+++ b/src/entry/process.h
@@ -64,19 +64,19 @@
         , m_gateway(GatewayParts{m_published, m_table, m_admission, m_quarantine}, gatewayOptions(settings))
         , m_changes(sharedReplicas(settings))
         , m_supervisor(m_controlLoop, logChildFailure)
-        , m_callers({&m_trafficLoop}, settings.traffic.host, settings.traffic.port,
-                    [this](http::Exchange &ex) {
-                        return m_gateway.handle(ex);
-                    })
-        , m_probes({&m_trafficLoop}, settings.readiness.host, settings.readiness.port,
-                   [this](http::Exchange &ex) {
-                       return answerProbe(ex);
-                   })
-        , m_metrics({&m_trafficLoop}, settings.metrics.host, settings.metrics.port,
-                    [this](http::Exchange &ex) {
-                        return answerMetrics(ex);
-                    })
-        , m_neighbours({&m_controlLoop}, settings.peers.host, settings.peers.port, [this](http::Exchange &ex) {
+        , m_callerServer({&m_trafficLoop}, settings.traffic.host, settings.traffic.port,
+                         [this](http::Exchange &ex) {
+                             return m_gateway.handle(ex);
+                         })
+        , m_probeServer({&m_trafficLoop}, settings.readiness.host, settings.readiness.port,
+                        [this](http::Exchange &ex) {
+                            return answerProbe(ex);
+                        })
+        , m_metricsServer({&m_trafficLoop}, settings.metrics.host, settings.metrics.port,
+                          [this](http::Exchange &ex) {
+                              return answerMetrics(ex);
+                          })
+        , m_neighbourServer({&m_controlLoop}, settings.peers.host, settings.peers.port, [this](http::Exchange &ex) {
             return m_changes.handle(ex);
         })
     {
@@ -93,9 +93,9 @@
     /// could not start.
     int run()
     {
-        std::vector<http::Server *> servers{&m_callers, &m_probes, &m_metrics};
+        std::vector<http::Server *> servers{&m_callerServer, &m_probeServer, &m_metricsServer};
         if (m_settings.peers.port != 0) {
-            servers.push_back(&m_neighbours);
+            servers.push_back(&m_neighbourServer);
         }
         for (auto *server : servers) {
             auto bound = server->start();
@@ -118,10 +118,10 @@
         m_controlLoop.stop();
         traffic.join();
         control.join();
-        log::Line{log::Event::ProgramStopped}.add("inflight", m_callers.inflight());
+        log::Line{log::Event::ProgramStopped}.add("inflight", m_callerServer.inflight());
         // Destructors are skipped: requests cut off at the end of the grace period are suspended in
         // the event loops, and refer to objects that would be destroyed before them.
-        std::_Exit(m_callers.inflight() == 0 ? cli::ExitOk : cli::ExitFailure);
+        std::_Exit(m_callerServer.inflight() == 0 ? cli::ExitOk : cli::ExitFailure);
     }
 
 private:
@@ -251,7 +251,7 @@
             const auto configuration = m_published.configuration();
             if (configuration != seen) {
                 seen = configuration;
-                m_callers.setLimits(configuration->callerLimits);
+                m_callerServer.setLimits(configuration->callerLimits);
             }
             m_published.endExpiredRetention(Clock::now());
             if (m_table.restartCount() != restarts) {
@@ -280,7 +280,8 @@
     }
 
     // Reads the settings file again. An invalid file is reported with all its problems and changes
-    // nothing; addresses and names stay as they were at the start.
+    // nothing. Only the retry limits and the grace period of a stop are applied; all other settings
+    // stay as they were at the start.
     void reload()
     {
         m_settingsWritten = modificationTime(m_settingsPath); // a signal and the file change that it announces cause one reload
@@ -314,7 +315,7 @@
         gauges.configurationVersion = configuration ? configuration->version : -1;
         gauges.storeSilenceSeconds = std::chrono::duration<double>(Clock::now() - m_published.lastContact()).count();
         gauges.endpoints = m_published.endpointCount();
-        gauges.inflight = m_callers.inflight();
+        gauges.inflight = m_callerServer.inflight();
         gauges.peers = m_exchange.activePeerCount();
         gauges.evacuatedDomains = m_table.evacuated().size();
         gauges.coldEndpoints = m_table.coldCount(Clock::now());
@@ -330,13 +331,13 @@
         co_await awaitStopSignal();
         const auto began = Clock::now();
         m_stopping = true;
-        m_callers.closeConnectionsAfterResponses();
-        log::Line{log::Event::StopRequested}.add("inflight", m_callers.inflight());
+        m_callerServer.closeConnectionsAfterResponses();
+        log::Line{log::Event::StopRequested}.add("inflight", m_callerServer.inflight());
         co_await sleepFor(std::min(m_stop.acceptRequestsFor, Millis(m_stopGraceMs) / 2));
         m_gateway.rejectNewRequests();
-        m_callers.stopAccepting();
+        m_callerServer.stopAccepting();
         const auto end = began + Millis(m_stopGraceMs) - m_stop.reserve;
-        while (m_callers.inflight() > 0 && Clock::now() < end) {
+        while (m_callerServer.inflight() > 0 && Clock::now() < end) {
             co_await sleepFor(m_stop.pollInterval);
         }
     }
@@ -357,7 +358,7 @@
         }
     }
 
-    static constexpr Millis maintenanceInterval{200}; ///< maximum delay until new limits on callers are in force and expired endpoints are removed
+    static constexpr Millis maintenanceInterval{200}; ///< maximum delay until new limits on callers are in effect and expired endpoints are removed
 
     Settings m_settings; ///< as at the start, except for the retry limits
     std::string m_settingsPath;
@@ -381,10 +382,10 @@
     Gateway<D> m_gateway;
     replica::ChangeServer m_changes;
     Supervisor m_supervisor;
-    http::Server m_callers;
-    http::Server m_probes;
-    http::Server m_metrics;
-    http::Server m_neighbours; ///< serves changes of store objects to other routers
+    http::Server m_callerServer;
+    http::Server m_probeServer;
+    http::Server m_metricsServer;
+    http::Server m_neighbourServer; ///< serves changes of store objects to other routers
     std::atomic<bool> m_stopping{false};
 };
 
--- a/src/entry/request_profile.h
+++ b/src/entry/request_profile.h
@@ -90,7 +90,7 @@
     NotRecorded, ///< the idempotency key could not be claimed in the store
     KeyInUse, ///< an earlier request with the key is in progress, or its outcome is unknown
     KeyReused, ///< the key was used for a request with other content
-    Quarantined, ///< endpoints crashed under requests with the same content
+    Quarantined, ///< endpoints crashed while they ran requests with the same content
     Evacuated, ///< all remaining endpoints are in evacuated failure domains
     Cold, ///< all remaining endpoints are cold and can take no more requests now
     BackingOff, ///< all endpoints have asked this router to back off
--- a/src/entry/retry_after.h
+++ b/src/entry/retry_after.h
@@ -16,7 +16,7 @@
     Millis loading{300}; ///< typical time that a router needs after its start to load its state
     Millis storeUnavailable{1500}; ///< the state was not loaded within loadTimeout, so the store is unavailable: outages last seconds
     Millis loadTimeout{700};
-    Millis evacuated{2000}; ///< until operators withdraw the evacuation order: many seconds
+    Millis evacuated{2000}; ///< until operators revoke the evacuation order: many seconds
     Millis cold{300}; ///< other routers have shares of other endpoints; the share of this router is free again within a second
     double jitter = 0.3; ///< fraction of the wait, in both directions: requests rejected together are not retried together
 };
--- a/src/follower.h
+++ b/src/follower.h
@@ -36,15 +36,15 @@
 /// Intervals, delays and collaborators of a Follower.
 struct FollowerOptions {
     /// Timeout of one watch. It is short because a store that drops its history may leave a watch unanswered, and only the timeout
-    /// reveals that. A change must be in force at most 3 s after such an event.
+    /// reveals that. A change must be in effect at most 3 s after such an event.
     Millis watchTimeout{2000};
     Millis initialRetryDelay{100}; ///< delay after a failed call; each further failure doubles it, up to maxRetryDelay
-    /// Upper limit of the delay. Every call has a price, also calls to an unreachable store. A caller that learns earlier that the
+    /// Upper limit of the delay. Every call has a cost, also calls to an unreachable store. A caller that learns earlier that the
     /// store is back calls restartWatch().
     Millis maxRetryDelay{1600};
     /// Delay between received changes and the next watch, so that one answer carries all changes made meanwhile. Every call has a
-    /// price, and while many endpoints join and leave, each change would wake the watch of every router. The delay is far below the
-    /// 2 s within which a change must be in force.
+    /// cost, and while many endpoints join and leave, each change would wake the watch of every router. The delay is far below the
+    /// 2 s within which a change must be in effect.
     Millis changeCoalescingDelay{300};
     ReadPolicy *readPolicy = nullptr; ///< read policy of the store; null: every watch requires a current answer
     replica::SharedReplica *sharedReplica = nullptr; ///< state shared with other routers; null: this router follows the store on its own
@@ -56,7 +56,7 @@
     Millis nonProberRetryDelay{3200};
     Millis outageSuspectedAfter{2500}; ///< the store may have been down if neither this router nor a peer heard from it for this long
     Millis replicaWatchTimeout{100}; ///< timeout of a watch on a replica for a change that a peer announced; after it, the store itself is watched
-    /// Delay of the first listing after the store was restored from a backup. The known state stays in force meanwhile. It is
+    /// Delay of the first listing after the store was restored from a backup. The known state stays in effect meanwhile. It is
     /// needed if the sink cannot tell lost entries from deleted ones; 0 if it can.
     Millis relistDelayAfterRestore{0};
     /// Minimum interval between two listings that are made because two routers hold different objects.
@@ -169,8 +169,8 @@
         return true;
     }
 
-    // Returns true if a peer announced a newer state, also if it did so during a call that then failed. A retry delay would keep
-    // that state out of force.
+    // Returns true if a peer announced a newer state, also if it did so during a call that then failed. A retry delay would postpone
+    // the use of that state.
     bool behindPeer() const
     {
         return m_options.sharedReplica && m_options.sharedReplica->behindPeer();
@@ -227,7 +227,7 @@
             co_return co_await list();
         }
         if (!m_storeLost) {
-            // Changes too large to be fetched from peers are read from a replica at a tenth of the price of a current read: every router
+            // Changes too large to be fetched from peers are read from a replica at a tenth of the cost of a current read: every router
             // of the fleet reads each change of a large configuration this way.
             const bool reached = co_await watch(WatchMode{platform::Freshness::MayLag, m_options.replicaWatchTimeout});
             if (!reached || m_options.sharedReplica->holdsAnnouncedState()) {
@@ -241,7 +241,7 @@
     // restarting from the first page would never complete.
     Task<bool> list()
     {
-        // A replica's answer suffices at the start, at a tenth of the price. What it lacks is reported within a second by the routers
+        // A replica's answer suffices at the start, at a tenth of the cost. What it lacks is reported within a second by the routers
         // that query the store for all, or by this router's own watch.
         const bool first = m_listedAt == Clock::time_point{};
         const auto freshness = m_options.sharedReplica && first ? platform::Freshness::MayLag : platform::Freshness::Current;
@@ -431,7 +431,8 @@
         }
     }
 
-    // Returns a random delay between half of m_retryDelay and m_retryDelay, so that routers that lost the store together do not retry together.
+    // Returns the delay of the next call after a failed one. It is a random time between half of m_retryDelay and m_retryDelay, so
+    // that routers that lost the store together do not retry together, or nonProberRetryDelay if other routers probe the store.
     Millis nextRetryDelay()
     {
         if (m_options.sharedReplica && m_options.sharedReplica->rank(Clock::now()) >= maxProbingRouters) {
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -149,7 +149,7 @@
         return m_opened;
     }
     /// Closes the connections of an event loop that have been idle for too long,
-    /// including those to engines that no longer exist. Must be called on the
+    /// including those to peers that no longer exist. Must be called on the
     /// loop's thread; the client also calls it itself, at most once per second.
     void closeIdle(asio::execution_context &loop, Clock::time_point now);
     /// Number of idle connections over all event loops and peers.
--- a/src/idempotency.h
+++ b/src/idempotency.h
@@ -1,6 +1,6 @@
 // At-most-once execution of non-idempotent calls. A router creates a claim
 // record per idempotency key in the platform's object store before it forwards
-// the call, and stores the answer in that record afterwards.
+// the call, and stores the response in that record afterwards.
 #pragma once
 
 #include "object_api.h"
@@ -20,7 +20,7 @@
 /// What a router does with a request that carries an idempotency key.
 enum class Decision {
     Run, ///< this router holds the claim and forwards the call once
-    Replay, ///< the call ran before; the stored answer is returned
+    Replay, ///< the call ran before; the stored response is returned
     InProgress, ///< another attempt holds the claim; its outcome is not known yet
     NotRun, ///< no claim was granted (store unreachable, rate limited or just restored), so the call did not run
     Mismatch, ///< the key was used before for a different request
@@ -36,7 +36,7 @@
 struct Claim {
     Decision decision = Decision::NotRun;
     platform::Object record; ///< the record in the store, when there is one
-    unsigned storedStatus = 0; ///< HTTP status of the stored answer, for Replay
+    unsigned storedStatus = 0; ///< HTTP status of the stored response, for Replay
     std::string storedBody; ///< for Replay
 };
 
@@ -61,7 +61,7 @@
     /// attempt writes a new nonce, by which it recognises its own claim when the
     /// store's answer was lost.
     Task<Claim> claim(std::string workspace, std::string key, uint64_t requestHash);
-    /// Returns the final record of a call that ran, with the answer's HTTP status and body.
+    /// Returns the final record of a call that ran, with the response's HTTP status and body.
     static nlohmann::json completed(const Claim &claim, unsigned status, const std::string &body);
     /// Returns the final record of a call that certainly did not run; a retry may run it.
     static nlohmann::json released(const Claim &claim);
@@ -74,8 +74,8 @@
     /// Returns false when the record was not written.
     Task<bool> settleEventually(Claim claim, nlohmann::json record);
 
-    /// Takes an epoch that the store gave to another client of this process. A higher
-    /// epoch than known means that the store was restored. From any thread.
+    /// Records an epoch that the store gave to another client of this process. A higher
+    /// epoch than known means that the store was restored. Callable from any thread.
     void recordEpoch(store::Epoch epoch, Clock::time_point now);
     /// After a restore of the store, rewrites the records of this router that it
     /// lost; else does nothing. When the store fails, the next call tries again.
@@ -102,7 +102,7 @@
     std::atomic<uint64_t> m_attempts{0}; ///< claims of this process so far, for their nonces
     RestoreOptions m_options;
     std::mutex m_mutex;
-    std::map<std::string, RecentRecord> m_recentRecords; ///< records that this router wrote lately, by name
+    std::map<std::string, RecentRecord> m_recentRecords; ///< records that this router wrote recently, by name
     store::Epoch m_epoch = 0;
     Clock::time_point m_claimsResumeAt{};
     bool m_restorePending = false;
--- a/src/load_exchange.cpp
+++ b/src/load_exchange.cpp
@@ -192,8 +192,9 @@
     return out;
 }
 
-// Sends what was heard since the last round to random peers, and to neighbours also the store's confirmations. In one round of
-// silentPeerRounds, silent peers are included and empty datagrams are sent, which show that this router is running.
+// Sends the load reports and prompt announcements since the last round to random peers, and to neighbours also the store's
+// confirmations. In one round of silentPeerRounds, silent peers are included and empty datagrams are sent, which show that this
+// router is running.
 Task<void> LoadExchange::sendRound()
 {
     const auto now = Clock::now();
@@ -203,21 +204,21 @@
     countActivePeers(now);
     message.prompts = m_table.takePromptAnnouncements(maxPrompts);
     const bool keepaliveRound = m_round++ % silentPeerRounds == 0;
-    const bool nothingHeard = message.loads.empty() && message.prompts.empty();
+    const bool nothingNew = message.loads.empty() && message.prompts.empty();
     for (const auto *replica : m_replicas) {
         if (auto confirmation = replica->currentConfirmation()) {
             message.confirmations.push_back(std::move(*confirmation));
         }
     }
     const auto near = randomPeers(m_directory.domainPeers(), m_options.maxDomainPeersPerRound, keepaliveRound, now);
-    if (!nothingHeard || !message.confirmations.empty() || keepaliveRound) {
+    if (!nothingNew || !message.confirmations.empty() || keepaliveRound) {
         co_await send(near, message, now);
     }
     const bool smallFleet = m_neighbours.size() > m_directory.domainPeers().size();
     if (!smallFleet) {
         message.confirmations.clear();
     }
-    if (!nothingHeard || !message.confirmations.empty() || keepaliveRound) {
+    if (!nothingNew || !message.confirmations.empty() || keepaliveRound) {
         co_await send(randomPeers(m_directory.otherDomainPeers(), m_options.maxPeersPerRound - near.size(), keepaliveRound, now), message, now);
     }
     co_await sendCrashRecords(keepaliveRound, now);
--- a/src/load_exchange.h
+++ b/src/load_exchange.h
@@ -38,8 +38,8 @@
     /// A neighbour counts among the routers that query the store if it was heard within this time, or within three times the average
     /// interval between its datagrams to a given router.
     Millis neighbourSilentAfter{2000};
-    /// Number of routers that count the crashes under one request; every router selects the same ones. Three, because any of them may
-    /// be restarted or unreachable.
+    /// Number of routers that count the crashes attributed to one request; every router selects the same ones. Three, because any
+    /// of them may be restarted or unreachable.
     std::size_t crashCounterRouters = 3;
     Millis warningInterval{10000}; ///< minimum interval between warnings about the socket or about malformed datagrams
 };
@@ -71,8 +71,8 @@
     {
         return m_listedRouterCount;
     }
-    /// Returns true if no recently heard router has a name before this one's. Tasks that only one router of the fleet must do are that
-    /// router's.
+    /// Returns true if no recently heard router has a name before this one's. The router for which this is true does the tasks that
+    /// only one router of the fleet must do.
     bool isFirstByName(Clock::time_point now) const;
     /// Shares the store's confirmations of these kinds with the neighbours. The replicas must outlive the exchange.
     void shareReplicas(std::vector<replica::SharedReplica *> replicas);
--- a/src/orders.h
+++ b/src/orders.h
@@ -63,7 +63,7 @@
 using Sender = std::function<Task<SendResult>(Order, uint64_t fence)>;
 
 /// Sends orders under a lease. An order is claimed in the store before it is
-/// sent, so that only one of two processes that both believe to hold the lease
+/// sent, so that only one of two processes that both believe they hold the lease
 /// sends it. The lease is checked again after the claim, so that a holder that
 /// was paused meanwhile does not send. An order that crashes engines is
 /// quarantined, so that it does not reach the whole pool.
--- a/src/peer_directory.h
+++ b/src/peer_directory.h
@@ -24,7 +24,7 @@
     bool operator==(const Peer &) const = default;
 };
 
-/// Maintains this router's entry and reads those of the others. Listings may come from a lagging replica, at a tenth of the price
+/// Maintains this router's entry and reads those of the others. Listings may come from a lagging replica, at a tenth of the cost
 /// of a current read: a peer that is listed late is only informed late. If the announcement fails, because the replica did not
 /// show an existing entry of this router, the next listing is a current one.
 class PeerDirectory
@@ -48,7 +48,7 @@
     {
         return m_otherDomainPeers;
     }
-    /// Removes the entry of a router that has not been heard for long. A router that is still running announces itself again.
+    /// Removes the entry of a router that has not been heard for a long time. A router that is still running announces itself again.
     Task<void> removeEntry(Peer peer);
 
 private:
--- a/src/prompt_snapshot.h
+++ b/src/prompt_snapshot.h
@@ -16,7 +16,7 @@
 
 /// Intervals and limits of the snapshot.
 struct SnapshotOptions {
-    /// Between two writes. A prompt counts as held for 30 s; one write per 3 s is 0.33 calls/s for the whole fleet.
+    /// Time between two writes. A prompt counts as held for 30 s; one write per 3 s is 0.33 calls/s for the whole fleet.
     Millis writeInterval{3000};
     Millis readRetryDelay{300}; ///< after a failed read
     Millis endpointsPollInterval{20}; ///< between two checks for a known endpoint list; a check makes no call
--- a/src/quarantine.cpp
+++ b/src/quarantine.cpp
@@ -25,7 +25,7 @@
     return until ? std::optional(std::min<Clock::time_point>(*until, now + m_options.suspicionRetryAfter)) : std::nullopt;
 }
 
-// Returns the time until which crashes and suspicions together hold a content back, or nothing when too few of them count.
+// Returns the time until which crashes and suspicions together quarantine a content, or nothing when too few of them count.
 std::optional<Clock::time_point> RequestQuarantine::suspectedUntil(uint64_t content, Clock::time_point now) const
 {
     const auto suspicions = m_suspicions.find(content);
@@ -117,7 +117,7 @@
     }
 }
 
-// Adds a suspicion. Returns false when it is known already, expired, or within answerGrace of a complete answer.
+// Adds a suspicion. Returns false when it is known already or expired, or when recentlyAnswered() excuses the content.
 bool RequestQuarantine::addSuspicion(const Suspicion &suspicion, Clock::time_point now)
 {
     if (recentlyAnswered(suspicion.content, suspicion.at) || now >= suspicion.at + m_options.suspicionTimeout) {
@@ -229,7 +229,7 @@
     clearContent(answer);
 }
 
-// True when the crash at endedAt falls within answerGrace of a complete answer, or before the answer.
+// True when the crash at endedAt came before the last complete answer or within answerGrace after it.
 bool RequestQuarantine::recentlyAnswered(uint64_t content, Clock::time_point endedAt) const
 {
     const auto it = m_answers.find(content);
--- a/src/quarantine_store.h
+++ b/src/quarantine_store.h
@@ -25,7 +25,7 @@
 struct QuarantineStoreOptions {
     Millis reloadInterval{30000}; ///< between listings; other routers send updates within a second
     Millis reloadIntervalAlone{2000}; ///< between listings while no other router is heard
-    /// Before the second listing: the first may be served by a lagging replica and miss what was written just before the start.
+    /// Time before the second listing: the first may be served by a lagging replica and miss what was written just before the start.
     Millis secondLoadDelay{5000};
     Millis retryDelay{1000}; ///< after a failed call
     Millis savePollInterval{100}; ///< between checks for unsaved records; a check makes no call
--- a/src/query_schedule.h
+++ b/src/query_schedule.h
@@ -11,7 +11,7 @@
 namespace yucca::replica
 {
 
-/// Times of Freshness, each a fraction of the bound within which a change must be in force.
+/// Intervals of QuerySchedule, each a fraction of the bound within which a change must be in effect.
 struct QueryScheduleOptions {
     /// Watch timeout of the router that queries the store for the others. The end of a watch confirms that nothing has changed, so
     /// it bounds the age of the peers' state.
@@ -27,7 +27,7 @@
     Millis watchRevisionMinAge{3000};
 };
 
-/// Returns the options for deployments in which a change must be in force within a bound, which is clamped to minBound to maxBound.
+/// Returns the options for deployments in which a change must be in effect within a bound, which is clamped to minBound and maxBound.
 inline QueryScheduleOptions queryScheduleWithin(Millis bound)
 {
     constexpr Millis minBound{1000}; ///< peers cannot inform each other in less than three datagram rounds
@@ -63,8 +63,8 @@
     {
         return m_confirmedAt;
     }
-    /// Peers can be expected to confirm the held state from a time on: the state was read from a replica, or peers are heard since
-    /// then. Without this allowance, every router of a large fleet queries the store once at its start.
+    /// Peers can be expected to confirm the held state from a time on: the state was read from a replica, or peers have been heard
+    /// since then. Without this allowance, every router of a large fleet queries the store once at its start.
     void expectConfirmationsFrom(Clock::time_point at)
     {
         m_confirmationsExpectedFrom = std::max(m_confirmationsExpectedFrom, at);
--- a/src/router_constraints.cpp
+++ b/src/router_constraints.cpp
@@ -68,7 +68,7 @@
     coldUntil = std::max(coldUntil, until);
 }
 
-// Assumes that an endpoint which joined or does not answer has just started: its own report of that arrives a heartbeat
+// Assumes that an endpoint which joined or does not answer has just started: its own report of this arrives a heartbeat
 // late, or never.
 void RoutingTable::assumeCold(const Endpoint &endpoint, Clock::time_point now)
 {
--- a/src/router_core.h
+++ b/src/router_core.h
@@ -98,8 +98,8 @@
     /// no endpoint can receive the request; noEndpointReason() gives the reason.
     std::optional<Endpoint> acquire(const std::string &pool, const placement::Affinity &affinity, const std::set<std::string> &exclude, Clock::time_point now,
                                     const PlacementConstraints &constraints = {});
-    /// Counts one more request to an endpoint that was acquired. Returns false if the endpoint must not receive a
-    /// request now.
+    /// Counts a resent request to an acquired endpoint against the limit on cold endpoints. Returns false if the
+    /// endpoint must not receive a request now.
     bool acquireForResend(const Endpoint &endpoint, Clock::time_point now);
     /// True while the endpoint's back-off lasts.
     bool backsOff(const Endpoint &endpoint, Clock::time_point now) const;
@@ -139,9 +139,10 @@
     std::optional<Endpoint> homeOf(const std::string &pool, uint64_t prompt) const;
     /// A listed endpoint that is not suspected of having failed; may be leaving. Returns nothing otherwise.
     std::optional<Endpoint> find(const std::string &id, Clock::time_point now) const;
-    /// When an endpoint joined. Returns the epoch for endpoints of the first listing and for unknown ones.
+    /// When an endpoint joined. Returns a default-constructed time point for endpoints of the first listing and for
+    /// unknown ones.
     Clock::time_point joinedAt(const std::string &id) const;
-    /// Counts one request in flight less, unless the endpoint has restarted since it was acquired.
+    /// Counts one request in flight as ended, unless the endpoint has restarted since it was acquired.
     void release(const Endpoint &endpoint, Clock::time_point now);
     /// False once a later incarnation of the endpoint is listed. What was learned from the earlier incarnation then no
     /// longer applies.
--- a/src/router_main.cpp
+++ b/src/router_main.cpp
@@ -154,8 +154,8 @@
         return options;
     }
 
-    // Routers of this interface exchange endpoint failures through the store only,
-    // and its calls are free: every failure is stored at once, and the records are
+    // Routers of this interface exchange endpoint crashes through the store only,
+    // and its calls are free: every crash is stored at once, and the records are
     // reloaded every second.
     static quarantine::QuarantineOptions quarantineOptions()
     {
--- a/src/shared_replica.cpp
+++ b/src/shared_replica.cpp
@@ -86,10 +86,10 @@
 Clock::time_point SharedReplica::queryDueAt(Clock::time_point now)
 {
     const auto currentRank = m_rank(now);
-    if (currentRank && !m_wasShared) {
+    if (currentRank && !m_hadActivePeers) {
         m_querySchedule.expectConfirmationsFrom(now);
     }
-    m_wasShared = currentRank.has_value();
+    m_hadActivePeers = currentRank.has_value();
     return currentRank ? m_querySchedule.queryDueAt(*currentRank) : m_querySchedule.confirmedAt();
 }
 
--- a/src/shared_replica.h
+++ b/src/shared_replica.h
@@ -131,7 +131,7 @@
     {
         return m_wake;
     }
-    /// onConfirmed is called with each confirmation, onNews after changes that peers must be informed of soon.
+    /// onConfirmed is called with each confirmation, onChange after changes that peers must be informed of soon.
     std::function<void(Clock::time_point at)> onConfirmed;
     std::function<void()> onChange;
 
@@ -164,7 +164,7 @@
     uint64_t m_unfetchedDigest = 0; ///< digest of the state that could not be fetched from a peer
     Clock::time_point m_unfetchedAt{};
     bool m_listed = false;
-    bool m_wasShared = false;
+    bool m_hadActivePeers = false;
     uint64_t m_lastChange = 0; ///< revision of the last change; a watch from here repeats no change
     std::deque<ConfirmedRevision> m_confirmedRevisions; ///< sampled by confirmation time, the oldest first
     Notifier m_wake;
