--- a/emulators/endpoint_main.cpp
+++ b/emulators/endpoint_main.cpp
@@ -39,7 +39,7 @@
     char *runLog = nullptr;
     char *backoffViolationLog = nullptr;
     char *crashBody = nullptr;
-    const poptOption own[] = {
+    const poptOption programOptions[] = {
         {"id", 0, POPT_ARG_STRING, &id, 0, "endpoint id", "ID"},
         {"service", 0, POPT_ARG_STRING, &service, 0, "service that the endpoint belongs to", "NAME"},
         {"port", 'p', POPT_ARG_INT, &port, 0, "listen port", "PORT"},
@@ -57,8 +57,8 @@
         {"events", 0, POPT_ARG_INT, &options.events, 0, "number of events in a stream", "N"},
         POPT_TABLEEND,
     };
-    std::vector<std::string> rest;
-    if (auto rc = cli::parse("yucca-endpoint", argc, argv, own, common, rest)) {
+    std::vector<std::string> arguments;
+    if (auto rc = cli::parse("yucca-endpoint", argc, argv, programOptions, common, arguments)) {
         return *rc;
     }
     options.id = id ? id : options.id;
--- a/emulators/endpoint_server.cpp
+++ b/emulators/endpoint_server.cpp
@@ -116,7 +116,7 @@
     }
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(Clock::now() - m_startedAt).count();
     if (++m_requestsWhileCold > m_options.maxColdRequestsPerS * seconds) {
-        std::_Exit(endedWhileCold);
+        std::_Exit(exitCodeColdOverload);
     }
 }
 
@@ -196,7 +196,7 @@
         recordRun(ex.header(attemptIdHeader));
         if (!m_options.crashBody.empty() && ex.request().body() == m_options.crashBody) {
             co_await sleepFor(m_options.work);
-            std::_Exit(endedUnderRequest);
+            std::_Exit(exitCodeCrashRequest);
         }
         if (m_options.streams) {
             co_await sendStream(ex);
--- a/emulators/endpoint_server.h
+++ b/emulators/endpoint_server.h
@@ -35,9 +35,9 @@
 };
 
 /// Exit code of an endpoint that a request crashed.
-inline constexpr int endedUnderRequest = 70;
+inline constexpr int exitCodeCrashRequest = 70;
 /// Exit code of an endpoint that crashed because it received too many requests while it was cold.
-inline constexpr int endedWhileCold = 71;
+inline constexpr int exitCodeColdOverload = 71;
 
 /// Faults, set by POST /admin/faults with a JSON object of these names. Absent names are reset.
 struct EndpointFaults {
--- a/emulators/engine_main.cpp
+++ b/emulators/engine_main.cpp
@@ -12,14 +12,14 @@
     int port = -1;
     char *id = nullptr;
     char *kind = nullptr;
-    const poptOption own[] = {
+    const poptOption programOptions[] = {
         {"port", 'p', POPT_ARG_INT, &port, 0, "listen port (overrides settings)", "PORT"},
         {"id", 0, POPT_ARG_STRING, &id, 0, "engine id (overrides settings)", "ID"},
         {"kind", 0, POPT_ARG_STRING, &kind, 0, "engine or service (overrides settings)", "KIND"},
         POPT_TABLEEND,
     };
-    std::vector<std::string> rest;
-    if (auto rc = cli::parse("yucca-engine", argc, argv, own, common, rest)) {
+    std::vector<std::string> arguments;
+    if (auto rc = cli::parse("yucca-engine", argc, argv, programOptions, common, arguments)) {
         return *rc;
     }
     auto s = cli::loadSettings<settings::EngineSettings>(common, settings::parseEngine);
--- a/emulators/load_main.cpp
+++ b/emulators/load_main.cpp
@@ -103,7 +103,7 @@
     // Options override the settings file, whose name is an option itself: the command line is parsed once for that
     // name, and again after the file was read.
     cli::CommonOptions common;
-    std::vector<std::string> rest;
+    std::vector<std::string> arguments;
     experiment::Options o;
     char *routers = nullptr;
     char *label = nullptr;
@@ -111,7 +111,7 @@
     char *migrateClass = nullptr;
     char *migratePool = nullptr;
     int platformPort = -1;
-    const poptOption own[] = {
+    const poptOption programOptions[] = {
         {"routers", 'r', POPT_ARG_STRING, &routers, 0, "routers to send to, as 127.0.0.1:PORT,...", "LIST"},
         {"platform-port", 0, POPT_ARG_INT, &platformPort, 0, "object API port, for the VM list and the faults", "PORT"},
         {"label", 'l', POPT_ARG_STRING, &label, 0, "label of the report and prefix of request ids", "TEXT"},
@@ -137,7 +137,7 @@
         {"outage-for", 0, POPT_ARG_INT, &o.outageForS, 0, "duration of the outage in seconds", "S"},
         POPT_TABLEEND,
     };
-    if (auto rc = cli::parse("yucca-load", argc, argv, own, common, rest)) {
+    if (auto rc = cli::parse("yucca-load", argc, argv, programOptions, common, arguments)) {
         return *rc;
     }
     auto loaded = cli::loadSettings<experiment::Options>(common, parseSettings);
@@ -145,7 +145,7 @@
         return cli::ExitUsage;
     }
     o = *loaded;
-    if (auto rc = cli::parse("yucca-load", argc, argv, own, common, rest)) {
+    if (auto rc = cli::parse("yucca-load", argc, argv, programOptions, common, arguments)) {
         return *rc;
     }
     Findings findings;
--- a/emulators/local_object_api.cpp
+++ b/emulators/local_object_api.cpp
@@ -35,9 +35,9 @@
     if (!ok(result)) {
         return result;
     }
-    ++writes;
-    if (loseAnswers > 0) {
-        --loseAnswers;
+    ++writeCount;
+    if (loseResponses > 0) {
+        --loseResponses;
         return Error{store::AnswerLost, "answer lost after the write"};
     }
     return result;
@@ -77,12 +77,12 @@
 
 Task<Result<WatchBatch>> LocalObjectApi::watch(std::string kind, uint64_t from, Millis, Freshness freshness, http::Cancellation *)
 {
-    currentWatches += freshness == Freshness::Current ? 1 : 0;
+    currentWatchCount += freshness == Freshness::Current ? 1 : 0;
     if (outage) {
         co_return outageError;
     }
-    if (freshness == Freshness::MayLag && replicaAt) {
-        co_return WatchBatch{*replicaAt, {}, m_store.epoch()};
+    if (freshness == Freshness::MayLag && replicaRevision) {
+        co_return WatchBatch{*replicaRevision, {}, m_store.epoch()};
     }
     co_return withEpoch(m_store.since(from, {kind}));
 }
--- a/emulators/local_object_api.h
+++ b/emulators/local_object_api.h
@@ -28,10 +28,10 @@
     }
 
     bool outage = false; ///< all calls fail with Unavailable
-    int loseAnswers = 0; ///< the next N writes take effect and fail with AnswerLost
-    int writes = 0; ///< writes that took effect
-    std::optional<uint64_t> replicaAt; ///< if set, watches that may lag return this revision without changes
-    int currentWatches = 0; ///< watches that asked for the current state
+    int loseResponses = 0; ///< the next N writes take effect and fail with AnswerLost
+    int writeCount = 0; ///< writes that took effect
+    std::optional<uint64_t> replicaRevision; ///< if set, watches that may lag return this revision without changes
+    int currentWatchCount = 0; ///< watches that asked for the current state
 
 private:
     template <typename T> Result<T> withEpoch(Result<T> result);
--- a/emulators/memory_store.cpp
+++ b/emulators/memory_store.cpp
@@ -129,11 +129,11 @@
     }
 }
 
-void ObjectStore::restore(Copy copy)
+void ObjectStore::restore(Backup saved)
 {
-    m_objects = std::move(copy.objects);
-    m_history = std::move(copy.history);
-    m_revision = copy.revision;
+    m_objects = std::move(saved.objects);
+    m_history = std::move(saved.history);
+    m_revision = saved.revision;
     ++m_epoch;
 }
 
--- a/emulators/memory_store.h
+++ b/emulators/memory_store.h
@@ -41,18 +41,18 @@
     void compact();
 
     /// A backup of the store.
-    struct Copy {
+    struct Backup {
         std::map<std::pair<std::string, std::string>, Object> objects;
         std::deque<WatchEvent> history;
         uint64_t revision = 0;
     };
-    Copy copy() const
+    Backup backup() const
     {
         return {m_objects, m_history, m_revision};
     }
     /// Restores the store from a backup and starts the next epoch. All later writes are lost, and their revisions are
     /// assigned again.
-    void restore(Copy copy);
+    void restore(Backup saved);
     Epoch epoch() const
     {
         return m_epoch;
--- a/emulators/model/engine.cpp
+++ b/emulators/model/engine.cpp
@@ -133,7 +133,7 @@
         r.nextPart = m_cache.match(r.request.parts);
         for (std::size_t i = 0; i < r.request.parts.size(); ++i) {
             r.promptTokens += r.request.parts[i].tokens;
-            m_counts.tokensFound += i < r.nextPart ? r.request.parts[i].tokens : 0;
+            m_counts.tokensCached += i < r.nextPart ? r.request.parts[i].tokens : 0;
         }
         m_running.push_back(std::move(r));
     }
@@ -149,13 +149,13 @@
             const int64_t count = std::min(budget, part.tokens - r.partTokensRead);
             r.partTokensRead += count;
             budget -= count;
-            m_counts.tokensRead += count;
+            m_counts.tokensPrefilled += count;
             if (r.partTokensRead < part.tokens) {
                 break;
             }
             const bool shared = r.nextPart + 1 < r.request.parts.size();
             if (shared) {
-                m_counts.sharedReadAgain += m_prefilledParts[part.id] ? part.tokens : 0;
+                m_counts.sharedTokensPrefilledAgain += m_prefilledParts[part.id] ? part.tokens : 0;
                 m_prefilledParts[part.id] = true;
                 m_cache.insert(part);
             }
--- a/emulators/model/engine.h
+++ b/emulators/model/engine.h
@@ -34,9 +34,9 @@
 struct MemberCounts {
     int64_t arrivals = 0;
     int64_t rejected = 0; ///< rejected because the queue was full
-    int64_t tokensRead = 0; ///< prompt tokens prefilled
-    int64_t tokensFound = 0; ///< prompt tokens found in the cache
-    int64_t sharedReadAgain = 0; ///< tokens of shared parts that some member had prefilled before
+    int64_t tokensPrefilled = 0; ///< prompt tokens prefilled
+    int64_t tokensCached = 0; ///< prompt tokens found in the cache
+    int64_t sharedTokensPrefilledAgain = 0; ///< tokens of shared parts that some member had prefilled before
     int64_t tokensFetched = 0; ///< prompt tokens fetched from another member's cache
 };
 
--- a/emulators/model/fleet.cpp
+++ b/emulators/model/fleet.cpp
@@ -197,9 +197,9 @@
     for (auto &[name, pool] : m_pools) {
         auto &out = m_outcome.pools[name];
         out.rejected = pool.counts.rejected;
-        out.tokensRead = pool.counts.tokensRead;
-        out.tokensFound = pool.counts.tokensFound;
-        out.sharedReadAgain = pool.counts.sharedReadAgain;
+        out.tokensPrefilled = pool.counts.tokensPrefilled;
+        out.tokensCached = pool.counts.tokensCached;
+        out.sharedTokensPrefilledAgain = pool.counts.sharedTokensPrefilledAgain;
         out.tokensFetched = pool.counts.tokensFetched;
         out.worstWindow = worstWindowOf(out);
     }
--- a/emulators/model/outcome.cpp
+++ b/emulators/model/outcome.cpp
@@ -77,10 +77,10 @@
     }
     out += row("%-18s %8s %8s %8s %8s %9s %9s %9s\n", "pool", "arrivals", "over", "worst 5s", "skew", "reuse", "again k", "fetched k");
     for (const auto &[name, p] : outcome.pools) {
-        const double prompt = static_cast<double>(p.tokensRead + p.tokensFound);
+        const double prompt = static_cast<double>(p.tokensPrefilled + p.tokensCached);
         out += row("%-18s %8lld %8lld %8.3f %8.2f %9.3f %9.0f %9.0f\n", name.c_str(), static_cast<long long>(p.arrivals), static_cast<long long>(p.overBound),
-                   p.worstWindow, p.worstSkew, prompt > 0 ? static_cast<double>(p.tokensFound) / prompt : 0.0, static_cast<double>(p.sharedReadAgain) / 1000,
-                   static_cast<double>(p.tokensFetched) / 1000);
+                   p.worstWindow, p.worstSkew, prompt > 0 ? static_cast<double>(p.tokensCached) / prompt : 0.0,
+                   static_cast<double>(p.sharedTokensPrefilledAgain) / 1000, static_cast<double>(p.tokensFetched) / 1000);
     }
     out += row("credit %.4f, worst windows %.4f, retries %lld\n", outcome.credit(), outcome.worstWindows(), static_cast<long long>(outcome.retries));
     return out;
@@ -104,8 +104,8 @@
         pools[name] = {{"arrivals", p.arrivals},           {"over_bound", p.overBound},
                        {"worst_window", p.worstWindow},    {"worst_skew", p.worstSkew},
                        {"arrivals_by_s", p.arrivalsAt},    {"over_bound_by_s", p.overBoundAt},
-                       {"turned_away", p.rejected},        {"tokens_read", p.tokensRead},
-                       {"tokens_found", p.tokensFound},    {"shared_read_again", p.sharedReadAgain},
+                       {"turned_away", p.rejected},        {"tokens_read", p.tokensPrefilled},
+                       {"tokens_found", p.tokensCached},   {"shared_read_again", p.sharedTokensPrefilledAgain},
                        {"tokens_fetched", p.tokensFetched}};
     }
     return {{"kinds", kinds},
--- a/emulators/model/outcome.h
+++ b/emulators/model/outcome.h
@@ -48,9 +48,9 @@
     double worstWindow = 0; ///< largest share of these in any five seconds
     double worstSkew = 0; ///< highest load divided by mean load, the maximum of samples every 100 ms
     int64_t rejected = 0; ///< this and the next four: see MemberCounts
-    int64_t tokensRead = 0;
-    int64_t tokensFound = 0;
-    int64_t sharedReadAgain = 0;
+    int64_t tokensPrefilled = 0;
+    int64_t tokensCached = 0;
+    int64_t sharedTokensPrefilledAgain = 0;
     int64_t tokensFetched = 0;
     std::vector<int64_t> arrivalsAt; ///< arrivals by second
     std::vector<int64_t> overBoundAt; ///< overBound by second
--- a/emulators/platform_main.cpp
+++ b/emulators/platform_main.cpp
@@ -15,12 +15,12 @@
 {
     cli::CommonOptions common;
     int port = -1;
-    const poptOption own[] = {
+    const poptOption programOptions[] = {
         {"port", 'p', POPT_ARG_INT, &port, 0, "listen port (overrides settings)", "PORT"},
         POPT_TABLEEND,
     };
-    std::vector<std::string> rest;
-    if (auto rc = cli::parse("yucca-platform", argc, argv, own, common, rest)) {
+    std::vector<std::string> arguments;
+    if (auto rc = cli::parse("yucca-platform", argc, argv, programOptions, common, arguments)) {
         return *rc;
     }
     auto s = cli::loadSettings<settings::PlatformSettings>(common, settings::parsePlatform);
--- a/emulators/platform_server.cpp
+++ b/emulators/platform_server.cpp
@@ -275,7 +275,7 @@
     }
     if (path == "/admin/copy" || path == "/admin/restore") {
         if (path == "/admin/copy") {
-            m_backup = m_store.copy();
+            m_backup = m_store.backup();
         } else {
             restore();
         }
--- a/emulators/platform_server.h
+++ b/emulators/platform_server.h
@@ -45,7 +45,7 @@
 
     settings::PlatformSettings m_settings;
     store::ObjectStore m_store;
-    store::ObjectStore::Copy m_backup; ///< the last backup; empty before the first
+    store::ObjectStore::Backup m_backup; ///< the last backup; empty before the first
     limits::TokenBucket m_writes;
     limits::TokenBucket m_reads;
     Faults m_faults;
--- a/emulators/soak/endings.cpp
+++ b/emulators/soak/crashes.cpp
@@ -36,9 +36,9 @@
             if (!code) {
                 continue;
             }
-            if (*code == emulators::endedUnderRequest) {
+            if (*code == emulators::exitCodeCrashRequest) {
                 recordCrash();
-            } else if (*code == emulators::endedWhileCold) {
+            } else if (*code == emulators::exitCodeColdOverload) {
                 m_violations.push_back("endpoint " + std::to_string(n) + " received more requests than its limit while it was cold");
             } else {
                 m_violations.push_back("endpoint " + std::to_string(n) + " exited unexpectedly with " + std::to_string(*code));
--- a/emulators/soak/fleet.h
+++ b/emulators/soak/fleet.h
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "soak/child.h"
+#include "soak/invariants.h"
 #include "soak/layout.h"
 #include "soak/plan.h"
-#include "soak/promises.h"
 
 #include <functional>
 #include <map>
--- a/emulators/soak/promises.cpp
+++ b/emulators/soak/invariants.cpp
@@ -1,4 +1,4 @@
-#include "soak/promises.h"
+#include "soak/invariants.h"
 
 #include <algorithm>
 
--- a/emulators/soak/layout.h
+++ b/emulators/soak/layout.h
@@ -1,8 +1,8 @@
 // The ports, names and request headers of a soak test.
 #pragma once
 
+#include "soak/invariants.h"
 #include "soak/plan.h"
-#include "soak/promises.h"
 
 #include <string>
 
--- a/src/cli.cpp
+++ b/src/cli.cpp
@@ -8,17 +8,17 @@
 namespace yucca::cli
 {
 
-std::optional<int> parse(const char *program, int argc, const char **argv, const poptOption *own, CommonOptions &common, std::vector<std::string> &rest,
-                         const char *usage)
+std::optional<int> parse(const char *program, int argc, const char **argv, const poptOption *programOptions, CommonOptions &common,
+                         std::vector<std::string> &arguments, const char *usage)
 {
     const poptOption commonTable[] = {
         {"config", 'c', POPT_ARG_STRING, &common.config, 0, "settings file (JSON with comments)", "FILE"},
         {"version", 'V', POPT_ARG_NONE, &common.version, 0, "print the version and exit", nullptr},
         POPT_TABLEEND,
     };
-    const poptOption ownEnd[] = {POPT_TABLEEND};
+    const poptOption noProgramOptions[] = {POPT_TABLEEND};
     const poptOption table[] = {
-        {nullptr, '\0', POPT_ARG_INCLUDE_TABLE, const_cast<poptOption *>(own ? own : ownEnd), 0, "Options:", nullptr},
+        {nullptr, '\0', POPT_ARG_INCLUDE_TABLE, const_cast<poptOption *>(programOptions ? programOptions : noProgramOptions), 0, "Options:", nullptr},
         {nullptr, '\0', POPT_ARG_INCLUDE_TABLE, const_cast<poptOption *>(commonTable), 0, "Common options:", nullptr},
         POPT_AUTOHELP POPT_TABLEEND,
     };
@@ -39,7 +39,7 @@
         return ExitOk;
     }
     while (const char *arg = poptGetArg(ctx)) {
-        rest.emplace_back(arg);
+        arguments.emplace_back(arg);
     }
     poptFreeContext(ctx);
     return std::nullopt;
--- a/src/cli.h
+++ b/src/cli.h
@@ -30,10 +30,10 @@
 };
 
 /// Parses argv with popt. Returns an exit code if the program must exit now
-/// (version, usage error); otherwise appends the positional arguments to rest and
+/// (version, usage error); otherwise appends the positional arguments to arguments and
 /// returns nothing. The help option prints the options and exits.
-std::optional<int> parse(const char *program, int argc, const char **argv, const poptOption *own, CommonOptions &common, std::vector<std::string> &rest,
-                         const char *usage = nullptr);
+std::optional<int> parse(const char *program, int argc, const char **argv, const poptOption *programOptions, CommonOptions &common,
+                         std::vector<std::string> &arguments, const char *usage = nullptr);
 
 /// Loads and parses the settings file named by --config, or an empty document
 /// without one. If there are findings, prints all of them to stderr and returns
--- a/src/ctl_main.cpp
+++ b/src/ctl_main.cpp
@@ -275,7 +275,7 @@
     int port = -1;
     char *author = nullptr;
     char *reason = nullptr;
-    const poptOption own[] = {
+    const poptOption programOptions[] = {
         {"host", 'H', POPT_ARG_STRING, &host, 0, "object API address (overrides settings)", "ADDR"},
         {"port", 'p', POPT_ARG_INT, &port, 0, "object API port (overrides settings)", "PORT"},
         {"author", 'a', POPT_ARG_STRING, &author, 0, "who makes the change (audit trail)", "NAME"},
@@ -283,7 +283,7 @@
         POPT_TABLEEND,
     };
     std::vector<std::string> args;
-    if (auto rc = cli::parse("yucca-ctl", argc, argv, own, common, args, usage)) {
+    if (auto rc = cli::parse("yucca-ctl", argc, argv, programOptions, common, args, usage)) {
         return *rc;
     }
     auto s = cli::loadSettings<Settings>(common, parseSettings);
--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -240,9 +240,9 @@
     m_keepEvacuatedUntil = now + restoreSettleTime;
 }
 
-void Published::onStoreRecovered(Clock::duration away, Clock::time_point now)
+void Published::onStoreRecovered(Clock::duration outageDuration, Clock::time_point now)
 {
-    if (away >= minOutageForExpiry) {
+    if (outageDuration >= minOutageForExpiry) {
         m_retainExpiredUntil = now + expiredEntryRetention;
     }
 }
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -98,7 +98,7 @@
     /// Called when the store answers again after an outage. Endpoints whose heartbeats it could not
     /// accept have expired in it although they are alive, and their entries return within about two
     /// seconds. Until then, missing endpoints are retained.
-    void onStoreRecovered(Clock::duration away, Clock::time_point now);
+    void onStoreRecovered(Clock::duration outageDuration, Clock::time_point now);
     /// Called when the store has been restored from a backup. Until the entries have been
     /// written again, endpoints that it lacks are retained, and endpoints that are known to be gone
     /// stay excluded.
@@ -367,9 +367,9 @@
             published.recordContact(Clock::now());
             published.publishEndpoints();
         }
-        void onStoreRecovered(Clock::duration away)
+        void onStoreRecovered(Clock::duration outageDuration)
         {
-            published.onStoreRecovered(away, Clock::now());
+            published.onStoreRecovered(outageDuration, Clock::now());
         }
         void onStoreRestored()
         {
--- a/src/entry/gateway_admit.h
+++ b/src/entry/gateway_admit.h
@@ -122,7 +122,7 @@
     m_metrics.rejected(why);
     const auto wait = retryAfter ? *retryAfter : retryAfterFor(why, Clock::now() - m_startedAt, m_options.retryAfter, m_random);
     auto answer = m_dialect.rejection(why, wait);
-    if (m_logLimiter.take(true, Clock::now())) {
+    if (m_logLimiter.tryTake(true, Clock::now())) {
         const auto configuration = m_published.configuration();
         log::Line{log::Event::RequestRejected}
             .add("id", id)
--- a/src/entry/gateway_statistics.h
+++ b/src/entry/gateway_statistics.h
@@ -58,7 +58,7 @@
                 .add("others_pct", static_cast<int64_t>(100 * ejection->othersRate));
         }
     }
-    if (end != AttemptEnd::Delivered && m_logLimiter.take(true, now)) {
+    if (end != AttemptEnd::Delivered && m_logLimiter.tryTake(true, now)) {
         log::Line{log::Event::AttemptEnded}
             .add("id", state.profile.id)
             .add("content", text::toHex(contentKey(state.profile)))
@@ -90,7 +90,7 @@
     };
     const double firstByte = state.firstByte == Clock::time_point{} ? -1 : seconds(state.firstByte);
     m_metrics.requestEnded(p.route->kind, end, seconds(now), firstByte);
-    if (!m_logLimiter.take(end != RequestEnd::Delivered, now)) {
+    if (!m_logLimiter.tryTake(end != RequestEnd::Delivered, now)) {
         return;
     }
     log::Line{log::Event::RequestFinished}
--- a/src/entry/log_rate_limiter.h
+++ b/src/entry/log_rate_limiter.h
@@ -19,7 +19,7 @@
     }
 
     /// Returns true if a line may be written; otherwise counts it as suppressed.
-    bool take(bool failure, Clock::time_point now)
+    bool tryTake(bool failure, Clock::time_point now)
     {
         if ((failure ? m_failures : m_successes).tryTake(now)) {
             return true;
--- a/src/follower.h
+++ b/src/follower.h
@@ -23,13 +23,13 @@
 /// The receiver of a follower's updates. All calls are made on the control thread.
 template <typename S>
 concept FollowerSink = requires(S s, const platform::Listing &listing, platform::Freshness freshness, const platform::Object &object, bool deleted,
-                                Clock::duration away)
+                                Clock::duration outageDuration)
 {
     s.onListing(listing, freshness);
     s.onPartialListing(listing); // the pages read so far of the first listing
     s.onChange(object, deleted);
     s.onBatchEnd();
-    s.onStoreRecovered(away); // called before the first update after an outage
+    s.onStoreRecovered(outageDuration); // called before the first update after an outage
     s.onStoreRestored(); // called before the first listing after the store was restored from a backup
 };
 
@@ -322,11 +322,11 @@
     {
         http::Cancellation cancellation;
         m_cancellation = &cancellation;
-        const auto askedAt = Clock::now();
-        const bool sharedWatch = m_options.sharedReplica && m_options.sharedReplica->hasActivePeers(askedAt);
-        const auto freshness = mode ? mode->freshness : sharedWatch ? platform::Freshness::Current : standaloneFreshness(askedAt);
-        const auto wait = mode ? mode->wait : sharedWatch ? m_options.sharedReplica->watchTimeout() : standaloneWait(askedAt);
-        const auto from = m_options.sharedReplica ? m_options.sharedReplica->watchFrom(askedAt) : m_revision;
+        const auto requestedAt = Clock::now();
+        const bool sharedWatch = m_options.sharedReplica && m_options.sharedReplica->hasActivePeers(requestedAt);
+        const auto freshness = mode ? mode->freshness : sharedWatch ? platform::Freshness::Current : standaloneFreshness(requestedAt);
+        const auto wait = mode ? mode->wait : sharedWatch ? m_options.sharedReplica->watchTimeout() : standaloneWait(requestedAt);
+        const auto from = m_options.sharedReplica ? m_options.sharedReplica->watchFrom(requestedAt) : m_revision;
         auto result = co_await m_api.watch(m_kind, from, wait, freshness, &cancellation);
         m_cancellation = nullptr;
         if (!ok(result) && cancellation.isCancelled()) {
@@ -348,7 +348,7 @@
         if (batch.epoch != m_epoch) {
             co_return batch.epoch > m_epoch; // the next step lists the objects; an answer of an older epoch is ignored
         }
-        recordWatchAnswer(freshness, batch, askedAt);
+        recordWatchAnswer(freshness, batch, requestedAt);
         if (batch.revision < m_revision) {
             m_listed = m_listed && freshness == platform::Freshness::MayLag; // a current answer shows that the store went back: list again
             co_return true;
@@ -395,14 +395,14 @@
         }
     }
 
-    void recordWatchAnswer(platform::Freshness freshness, const platform::WatchBatch &batch, Clock::time_point askedAt)
+    void recordWatchAnswer(platform::Freshness freshness, const platform::WatchBatch &batch, Clock::time_point requestedAt)
     {
         const auto now = Clock::now();
         if (freshness == platform::Freshness::Current) {
             m_lastCurrent = now;
         }
         if (m_options.readPolicy) {
-            m_options.readPolicy->recordAnswer(freshness, batch.revision, !batch.events.empty(), askedAt, now, m_lastFreshness);
+            m_options.readPolicy->recordAnswer(freshness, batch.revision, !batch.events.empty(), requestedAt, now, m_lastFreshness);
         }
         m_lastFreshness = freshness;
     }
@@ -411,14 +411,14 @@
     {
         const auto now = Clock::now();
         const auto last = m_options.sharedReplica ? std::max(m_lastContact, m_options.sharedReplica->confirmedAt()) : m_lastContact;
-        const auto away = last == Clock::time_point{} ? Clock::duration::zero() : now - last;
-        if (!m_storeLost && away >= m_options.outageSuspectedAfter) {
-            m_sink.onStoreRecovered(away); // this router made no call meanwhile
+        const auto outageDuration = last == Clock::time_point{} ? Clock::duration::zero() : now - last;
+        if (!m_storeLost && outageDuration >= m_options.outageSuspectedAfter) {
+            m_sink.onStoreRecovered(outageDuration); // this router made no call meanwhile
         }
         if (m_storeLost) {
             m_storeLost = false;
-            log::Line{log::Event::StoreRegained}.add("kind", m_kind).add("away_ms", std::chrono::duration_cast<Millis>(away).count());
-            m_sink.onStoreRecovered(away);
+            log::Line{log::Event::StoreRegained}.add("kind", m_kind).add("away_ms", std::chrono::duration_cast<Millis>(outageDuration).count());
+            m_sink.onStoreRecovered(outageDuration);
         }
         m_lastContact = now;
     }
--- a/src/load_exchange.cpp
+++ b/src/load_exchange.cpp
@@ -284,8 +284,8 @@
         for (const auto &suspicion : message.suspicions) {
             m_quarantine->merge(suspicion, now);
         }
-        for (const auto &answer : message.answers) {
-            m_quarantine->merge(answer);
+        for (const auto &response : message.completeResponses) {
+            m_quarantine->merge(response);
         }
     }
     const auto neighbour = std::find_if(m_neighbours.begin(), m_neighbours.end(), [&from](const Peer &peer) {
--- a/src/load_exchange_crashes.cpp
+++ b/src/load_exchange_crashes.cpp
@@ -38,7 +38,7 @@
     const bool reachesAllPeers = others.size() <= m_options.maxPeersPerRound;
     auto updates = m_quarantine->takeUpdates(maxCrashRecords);
     PeerMessage forAll;
-    forAll.answers = std::move(updates.answers);
+    forAll.completeResponses = std::move(updates.answers);
     std::map<std::string, std::pair<Peer, PeerMessage>> forCounters; // by router id
     const auto addForCounters = [&](uint64_t content, auto member, const auto &item) {
         for (const auto &peer : countersFor(content, others)) {
@@ -65,7 +65,7 @@
         auto held = m_quarantine->nextQuarantined(maxCrashRecords - forAll.crashes.size(), now);
         std::move(held.begin(), held.end(), std::back_inserter(forAll.crashes));
     }
-    if (!forAll.crashes.empty() || !forAll.suspicions.empty() || !forAll.answers.empty()) {
+    if (!forAll.crashes.empty() || !forAll.suspicions.empty() || !forAll.completeResponses.empty()) {
         co_await send(randomPeers(others, m_options.maxPeersPerRound, includeSilent, now), forAll, now);
     }
     for (const auto &[id, batch] : forCounters) {
--- a/src/peer_message.cpp
+++ b/src/peer_message.cpp
@@ -146,7 +146,7 @@
     for (const auto &s : message.suspicions) {
         out.push_back({s.content, s.endpoint, ageOf(s.at, now)});
     }
-    for (const auto &a : message.answers) {
+    for (const auto &a : message.completeResponses) {
         out.push_back({a.content, ageOf(a.at, now, maxCrashAgeMs)});
     }
     return json::to_cbor(out);
@@ -169,13 +169,13 @@
         replica::Confirmation confirmation;
         quarantine::CrashRecord crash;
         quarantine::Suspicion suspicion;
-        quarantine::CompleteResponse answer;
+        quarantine::CompleteResponse completeResponse;
         if (out.crashes.size() < maxCrashRecords && readCrashRecord(item, now, crash)) {
             out.crashes.push_back(std::move(crash));
         } else if (out.suspicions.size() < maxCrashRecords && readSuspicion(item, now, suspicion)) {
             out.suspicions.push_back(suspicion);
-        } else if (out.answers.size() < maxCrashRecords && readAnswer(item, now, answer)) {
-            out.answers.push_back(answer);
+        } else if (out.completeResponses.size() < maxCrashRecords && readAnswer(item, now, completeResponse)) {
+            out.completeResponses.push_back(completeResponse);
         } else if (out.confirmations.size() < maxConfirmations && readConfirmation(item, now, confirmation)) {
             out.confirmations.push_back(std::move(confirmation));
         } else if (out.loads.size() < maxLoadReports && readReport(item, now, report)) {
--- a/src/peer_message.h
+++ b/src/peer_message.h
@@ -39,7 +39,7 @@
     std::vector<replica::Confirmation> confirmations;
     std::vector<quarantine::CrashRecord> crashes = {};
     std::vector<quarantine::Suspicion> suspicions = {};
-    std::vector<quarantine::CompleteResponse> answers = {}; ///< complete responses to requests under which endpoints had crashed
+    std::vector<quarantine::CompleteResponse> completeResponses = {}; ///< complete responses to requests under which endpoints had crashed
     bool operator==(const PeerMessage &) const = default;
 };
 
--- a/src/read_policy.h
+++ b/src/read_policy.h
@@ -55,14 +55,14 @@
     }
     /// Evaluates an answered watch: its freshness and revision, whether it had changes, when it was requested, and the freshness of the
     /// follower's previous answer.
-    void recordAnswer(platform::Freshness freshness, uint64_t revision, bool hasChanges, Clock::time_point askedAt, Clock::time_point now,
+    void recordAnswer(platform::Freshness freshness, uint64_t revision, bool hasChanges, Clock::time_point requestedAt, Clock::time_point now,
                       platform::Freshness previous = platform::Freshness::MayLag)
     {
         const bool behind = freshness == platform::Freshness::MayLag && revision < m_newestRevision;
         const bool previousFromReplica = freshness == platform::Freshness::Current && previous == platform::Freshness::MayLag;
         if (behind) {
             requireCurrent(now);
-        } else if (previousFromReplica && hasChanges && now - askedAt < m_options.immediateAnswerMax) {
+        } else if (previousFromReplica && hasChanges && now - requestedAt < m_options.immediateAnswerMax) {
             requireCurrentUntil(now + m_options.immediateAnswerPeriod);
         }
         m_newestRevision = std::max(m_newestRevision, revision);
--- a/src/router_main.cpp
+++ b/src/router_main.cpp
@@ -24,11 +24,11 @@
 
 /// The interface that a router offers to callers.
 enum class Interface {
-    Own, ///< chat completions and operations, with the catalogue of yucca-ctl
+    Native, ///< chat completions and operations, with the catalogue of yucca-ctl
     Platform, ///< the platform's requests and configuration
 };
 
-constexpr NameTable<Interface, 2> interfaceNames{{{Interface::Own, "own"}, {Interface::Platform, "platform"}}};
+constexpr NameTable<Interface, 2> interfaceNames{{{Interface::Native, "own"}, {Interface::Platform, "platform"}}};
 
 // Returns the interface that a settings file selects. The parser of that
 // interface reads the file again and checks it.
@@ -37,7 +37,7 @@
     Findings ignored;
     const auto document = settings::loadFile(path, ignored);
     const auto name = document.is_object() && document.contains("interface") ? document["interface"] : nlohmann::json();
-    return name.is_string() ? parseName(interfaceNames, name.get<std::string>()).value_or(Interface::Own) : Interface::Own;
+    return name.is_string() ? parseName(interfaceNames, name.get<std::string>()).value_or(Interface::Native) : Interface::Native;
 }
 
 /// One router process: the supervised control tasks run on a thread of their own,
@@ -239,7 +239,7 @@
     char *id = nullptr;
     char *policy = nullptr;
     int checkOnly = 0;
-    const poptOption own[] = {
+    const poptOption programOptions[] = {
         {"port", 'p', POPT_ARG_INT, &port, 0, "listen port (overrides settings)", "PORT"},
         {"platform-port", 0, POPT_ARG_INT, &platformPort, 0, "object API port (overrides settings)", "PORT"},
         {"id", 0, POPT_ARG_STRING, &id, 0, "router id (overrides settings)", "ID"},
@@ -247,8 +247,8 @@
         {"check-config", 0, POPT_ARG_NONE, &checkOnly, 0, "check the settings file, print every problem, and exit", nullptr},
         POPT_TABLEEND,
     };
-    std::vector<std::string> rest;
-    if (auto rc = cli::parse("yucca-router", argc, argv, own, common, rest)) {
+    std::vector<std::string> arguments;
+    if (auto rc = cli::parse("yucca-router", argc, argv, programOptions, common, arguments)) {
         return *rc;
     }
     if (common.config && configuredInterface(common.config) == Interface::Platform) {
--- a/tests/test_catalogue.cpp
+++ b/tests/test_catalogue.cpp
@@ -175,7 +175,7 @@
 TEST(AuditTrail, AcceptedChangeHasAnAuditRecordAlsoAfterLostAnswers)
 {
     CHECK(change("a").result == ctl::ChangeResult::Applied);
-    api.loseAnswers = 2; // the answers to the audit record's write and to the change itself
+    api.loseResponses = 2; // the answers to the audit record's write and to the change itself
     CHECK(change("b").result == ctl::ChangeResult::Applied);
     CHECK((outcomes() == std::vector<std::string>{"accepted", "accepted"}));
 }
--- a/tests/test_entry_state.cpp
+++ b/tests/test_entry_state.cpp
@@ -312,10 +312,10 @@
     const auto now = Clock::now();
     int successes = 0;
     for (int i = 0; i < 100; ++i) {
-        successes += budget.take(false, now) ? 1 : 0;
+        successes += budget.tryTake(false, now) ? 1 : 0;
     }
     CHECK(successes >= 10 && successes <= 11);
-    CHECK(budget.take(true, now));
+    CHECK(budget.tryTake(true, now));
 }
 
 TEST_GROUP(PlatformCodec){};
@@ -584,7 +584,7 @@
     for (int i = 0; i < 20; ++i) {
         CHECK(loop().run(follower.step()));
     }
-    LONGS_EQUAL(0, api.currentWatches); // the listing was current, and no time has passed
+    LONGS_EQUAL(0, api.currentWatchCount); // the listing was current, and no time has passed
     ReadPolicyOptions always;
     always.currentReadInterval = Millis(0);
     ReadPolicy checking(always);
@@ -592,7 +592,7 @@
     Follower<RecordingSink> checked(api, "k", sink, options);
     CHECK(loop().run(checked.step()));
     CHECK(loop().run(checked.step()));
-    LONGS_EQUAL(1, api.currentWatches);
+    LONGS_EQUAL(1, api.currentWatchCount);
 }
 
 TEST(EntryFollower, LaggingReplicaIsNotUsedAfterANewerResponse)
@@ -611,13 +611,13 @@
     const uint64_t before = store.list("k", "", 1).revision;
     store.put("k", "a", 1, std::nullopt);
     CHECK(loop().run(first.step()));
-    api.replicaAt = before;
+    api.replicaRevision = before;
     store.put("other", "b", 1, std::nullopt);
     CHECK(loop().run(second.step())); // answered from an old state: there is nothing new, and another listing would not help
     CHECK(loop().run(second.step())); // a current watch
     const std::vector<std::string> expected{"listed 0", "listed 0", "set a", "set b"};
     CHECK(sink.updates == expected);
-    LONGS_EQUAL(1, api.currentWatches);
+    LONGS_EQUAL(1, api.currentWatchCount);
 }
 
 TEST(EntryFollower, EveryWatchIsCurrentAfterStoreTrouble)
@@ -633,10 +633,10 @@
     store.put("k", "a", 1, std::nullopt);
     store.put("k", "b", 1, std::nullopt);
     CHECK(loop().run(follower.step())); // the history is lost
-    LONGS_EQUAL(0, api.currentWatches);
+    LONGS_EQUAL(0, api.currentWatchCount);
     CHECK(loop().run(follower.step())); // a listing
     CHECK(loop().run(follower.step()));
-    LONGS_EQUAL(1, api.currentWatches);
+    LONGS_EQUAL(1, api.currentWatchCount);
 }
 
 TEST(EntryFollower, ChangesPendingAtACurrentWatchIndicateALaggingReplica)
--- a/tests/test_idempotency.cpp
+++ b/tests/test_idempotency.cpp
@@ -81,7 +81,7 @@
 TEST(InvariantAtMostOnce, ClaimWithALostAnswerIsRecognisedAsOwn)
 {
     idempotency::Guard g(api, "router-1");
-    api.loseAnswers = 1;
+    api.loseResponses = 1;
     CHECK(attempt(g, svc, "k") == Decision::Run);
     CHECK(attempt(g, svc, "k") == Decision::Replay);
     LONGS_EQUAL(1, svc.runs);
@@ -91,7 +91,7 @@
 {
     idempotency::Guard g(api, "router-1");
     auto c = runBlocking(g.claim("ws-0", "k", 11));
-    api.loseAnswers = 1;
+    api.loseResponses = 1;
     CHECK(complete(g, c, "{}"));
     CHECK(runBlocking(g.claim("ws-0", "k", 11)).decision == Decision::Replay);
 }
@@ -130,7 +130,7 @@
     std::map<std::string, int> runs;
     for (int k = 0; k < 200; ++k) {
         std::string key = "k" + std::to_string(k);
-        api.loseAnswers = k % 3; // up to two lost answers in a row
+        api.loseResponses = k % 3; // up to two lost answers in a row
         api.outage = (k % 7 == 0);
         Service s;
         attempt(a, s, key, 1, k % 5 == 0); // every fifth attempt crashes after the call
@@ -157,9 +157,9 @@
 {
     idempotency::Guard first(api, "router-1");
     idempotency::Guard second(api, "router-2");
-    const auto copy = store.copy();
+    const auto backup = store.backup();
     CHECK(attempt(first, svc, "k") == Decision::Run);
-    store.restore(copy);
+    store.restore(backup);
     CHECK(attempt(second, svc, "k") == Decision::NotRun);
     runBlocking(first.rewriteLostRecords()); // the router that ran the call rewrites its record
     CHECK(attempt(second, svc, "k") != Decision::Run);
@@ -170,9 +170,9 @@
 TEST(InvariantAtMostOnce, CallWhoseClaimIsLostInARestoreIsSettledAndReplayed)
 {
     idempotency::Guard g(api, "router-1");
-    const auto copy = store.copy();
+    const auto backup = store.backup();
     const auto claim = runBlocking(g.claim("ws-0", "k", 11));
-    store.restore(copy);
+    store.restore(backup);
     CHECK(complete(g, claim, "done"));
     idempotency::Guard other(api, "router-2", idempotency::recordKind, {.claimPauseAfterRestore = Millis(0)});
     CHECK(runBlocking(other.claim("ws-0", "k", 11)).decision == Decision::Replay);
@@ -182,7 +182,7 @@
 {
     idempotency::Guard g(api, "router-1");
     CHECK(attempt(g, svc, "before") == Decision::Run);
-    store.restore(store.copy());
+    store.restore(store.backup());
     CHECK(attempt(g, svc, "k") == Decision::NotRun);
     LONGS_EQUAL(1, svc.runs);
 }
@@ -190,11 +190,11 @@
 TEST(InvariantAtMostOnce, RecordsAreRewrittenAfterEachOfTwoRestores)
 {
     idempotency::Guard g(api, "router-1");
-    const auto copy = store.copy();
+    const auto backup = store.backup();
     CHECK(attempt(g, svc, "k") == Decision::Run);
     const std::string name = idempotency::Guard::recordName("ws-0", "k");
     for (int round = 0; round < 2; ++round) {
-        store.restore(copy);
+        store.restore(backup);
         runBlocking(api.isReachable(idempotency::recordKind));
         runBlocking(g.rewriteLostRecords());
         const auto held = store.get(idempotency::recordKind, name);
--- a/tests/test_lease.cpp
+++ b/tests/test_lease.cpp
@@ -105,7 +105,7 @@
 
 TEST(FencingLease, LostAnswerToTheAcquisitionIsResolvedByReadingBack)
 {
-    api.loseAnswers = 1;
+    api.loseResponses = 1;
     CHECK(acquire(a));
     CHECK(a.held());
     CHECK_FALSE(acquire(b));
@@ -218,10 +218,10 @@
 
 TEST(FencingLease, RestoreWithoutTheRecordEndsTheTermAndTokensKeepRising)
 {
-    const auto copy = store.copy();
+    const auto backup = store.backup();
     CHECK(acquire(a));
     const auto before = a.fence();
-    store.restore(copy);
+    store.restore(backup);
     CHECK_FALSE(acquire(b)); // a may still act as the holder
     CHECK_FALSE(acquire(a));
     CHECK_FALSE(a.held());
@@ -235,10 +235,10 @@
 {
     CHECK(acquire(a));
     runBlocking(a.release());
-    const auto copy = store.copy();
+    const auto backup = store.backup();
     CHECK(acquire(a));
     const auto before = a.fence();
-    store.restore(copy);
+    store.restore(backup);
     CHECK_FALSE(acquire(b));
     now += leaseDuration;
     CHECK(acquire(b));
@@ -248,15 +248,15 @@
 TEST(FencingLease, RenewalInALaterEpochDoesNotHoldTheLease)
 {
     CHECK(acquire(a));
-    const auto copy = store.copy();
-    store.restore(copy); // the record has the same version in the new epoch
+    const auto backup = store.backup();
+    store.restore(backup); // the record has the same version in the new epoch
     CHECK_FALSE(acquire(a));
     CHECK_FALSE(a.held());
 }
 
 TEST(FencingLease, TokensStayUniqueAcrossTwoRestores)
 {
-    const auto copy = store.copy();
+    const auto backup = store.backup();
     std::set<uint64_t> tokens;
     for (int round = 0; round < 3; ++round) {
         for (int tries = 0; !acquire(a) && tries < 5; ++tries) {
@@ -264,6 +264,6 @@
         }
         CHECK(a.held());
         CHECK(tokens.insert(a.fence()).second);
-        store.restore(copy);
+        store.restore(backup);
     }
 }
--- a/tests/test_model.cpp
+++ b/tests/test_model.cpp
@@ -31,7 +31,7 @@
 
 double cacheReuse(const model::PoolOutcome &pool)
 {
-    return static_cast<double>(pool.tokensFound) / static_cast<double>(pool.tokensFound + pool.tokensRead);
+    return static_cast<double>(pool.tokensCached) / static_cast<double>(pool.tokensCached + pool.tokensPrefilled);
 }
 
 } // namespace
@@ -107,7 +107,7 @@
     const auto home = play(scenario).pools.at("model");
     const auto roundRobin = play(scenario, Policy::RoundRobin).pools.at("model");
     CHECK(cacheReuse(home) > cacheReuse(roundRobin) + 0.1);
-    CHECK(home.sharedReadAgain * 3 < roundRobin.sharedReadAgain);
+    CHECK(home.sharedTokensPrefilledAgain * 3 < roundRobin.sharedTokensPrefilledAgain);
 }
 
 TEST(Model, ManyRoutersKeepTheLoadBoundOnlyIfTheyShareLoads)
--- a/tests/test_peers.cpp
+++ b/tests/test_peers.cpp
@@ -114,7 +114,7 @@
     }
     CHECK(idsOf(a.domainPeers()) == std::vector<std::string>{"b"});
     LONGS_EQUAL(2, a.domainPeers().front().address.port);
-    LONGS_EQUAL(3, api.writes); // each router announced itself once
+    LONGS_EQUAL(3, api.writeCount); // each router announced itself once
 }
 
 TEST(PeerDirectory, ARouterReplacedUnderItsNameAnnouncesItsNewAddress)
@@ -136,10 +136,10 @@
     platform::LocalObjectApi api(store);
     peers::PeerDirectory a(api, peerAt("a", "north", 1));
     peers::PeerDirectory b(api, peerAt("b", "north", 2));
-    const auto copy = store.copy();
+    const auto backup = store.backup();
     CHECK(loop().run(a.refresh()));
     for (int round = 0; round < 2; ++round) {
-        store.restore(copy);
+        store.restore(backup);
         CHECK(loop().run(a.refresh()));
         CHECK(loop().run(b.refresh()));
         CHECK(idsOf(b.domainPeers()) == std::vector<std::string>{"a"});
--- a/tests/test_prompt_holders.cpp
+++ b/tests/test_prompt_holders.cpp
@@ -245,7 +245,7 @@
     CHECK(!loop().run(snapshot.read()));
     fixture.table.recordPromptHolder(1, makeEngine("a"), Clock::now());
     CHECK(!loop().run(snapshot.write()));
-    LONGS_EQUAL(0, fixture.api.writes);
+    LONGS_EQUAL(0, fixture.api.writeCount);
 }
 
 TEST(PromptSnapshot, MalformedEntriesAreSkipped)
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -299,13 +299,13 @@
     peers::PeerMessage message;
     message.crashes = {{0xfedcba9876543210u, {1, 2, 0xffffffffffffffffu}, now - std::chrono::hours(2)}, {1, {5}, now}};
     message.suspicions = {{8, 0xfedcba9876543210u, now - Millis(30)}};
-    message.answers = {{9, now - Millis(70)}};
+    message.completeResponses = {{9, now - Millis(70)}};
     const auto later = now + std::chrono::hours(9); // the receiver's clock differs
     const auto decoded = std::get<peers::PeerMessage>(peers::decode(peers::encode(message, now), later));
     const std::vector<quarantine::CrashRecord> expected{{0xfedcba9876543210u, {1, 2, 0xffffffffffffffffu}, later - std::chrono::hours(2)}, {1, {5}, later}};
     CHECK(decoded.crashes == expected);
     CHECK(decoded.suspicions == (std::vector<quarantine::Suspicion>{{8, 0xfedcba9876543210u, later - Millis(30)}}));
-    CHECK(decoded.answers == (std::vector<quarantine::CompleteResponse>{{9, later - Millis(70)}}));
+    CHECK(decoded.completeResponses == (std::vector<quarantine::CompleteResponse>{{9, later - Millis(70)}}));
 }
 
 TEST(CrashRecordEncoding, FullDatagramFitsOnePacketAndMalformedOnesAreRejected)
@@ -317,7 +317,7 @@
         message.crashes.push_back({large, {large - 5, large - 4, large - 3, large - 2}, now - std::chrono::hours(20)});
         std::sort(message.crashes.back().endpoints.begin(), message.crashes.back().endpoints.end());
         message.suspicions.push_back({large, large, now});
-        message.answers.push_back({large, now});
+        message.completeResponses.push_back({large, now});
     }
     const auto datagram = peers::encode(message, now);
     CHECK(datagram.size() < 1472);
@@ -626,12 +626,12 @@
     store::ObjectStore store;
     platform::LocalObjectApi api(store);
     StoredRouter before(api);
-    const auto copy = store.copy();
+    const auto backup = store.backup();
     CHECK(loop().run(before.persistence.load()));
     before.crashEndpoints(1, 3);
     before.saveAll(loop());
     for (int round = 0; round < 2; ++round) {
-        store.restore(copy);
+        store.restore(backup);
         CHECK(loop().run(before.persistence.load()));
         before.saveAll(loop());
     }
--- a/tests/test_shared_replica.cpp
+++ b/tests/test_shared_replica.cpp
@@ -288,7 +288,7 @@
         domain.run(std::chrono::seconds(10));
         domain.kill(1, 20); // and those next in rank
         domain.run(std::chrono::seconds(10));
-        // 0.4 s of the 2 s within which a change must be in force remain to fetch it.
+        // 0.4 s of the 2 s within which a change must be in effect remain to fetch it.
         CHECK(domain.maxConfirmationAge() <= Millis(1600));
     }
 }
@@ -361,12 +361,12 @@
     CHECK(loop().run(fixture.follower->step()));
     CHECK(loop().run(fixture.follower->step()));
     CHECK(!fixture.own.isConfirmed()); // a replica's answer confirms nothing
-    LONGS_EQUAL(0, fixture.api.currentWatches);
+    LONGS_EQUAL(0, fixture.api.currentWatchCount);
     CHECK(fixture.api.lastWait <= Millis(50));
     CHECK(loop().run(trueAfterDelay(Millis(60))));
     CHECK(loop().run(fixture.follower->step()));
     CHECK(fixture.own.isConfirmed());
-    LONGS_EQUAL(1, fixture.api.currentWatches);
+    LONGS_EQUAL(1, fixture.api.currentWatchCount);
 }
 
 // Guards against every router of a fleet querying the store when routers begin to hear each other.
@@ -496,13 +496,13 @@
     fixture.neighbourQueriesStore(loop());
     const uint64_t before = fixture.store.revision();
     for (const bool lags : {false, true}) {
-        fixture.api.replicaAt = lags ? std::optional(fixture.store.revision()) : std::nullopt;
+        fixture.api.replicaRevision = lags ? std::optional(fixture.store.revision()) : std::nullopt;
         fixture.store.put("k", "large", std::string(200000, lags ? 'x' : 'y'), std::nullopt);
         fixture.neighbourQueriesStore(loop());
         fixture.receiveNeighbourConfirmation();
         CHECK(loop().run(fixture.follower->step()));
         STRCMP_EQUAL("set large", fixture.sink.updates.back().c_str());
-        LONGS_EQUAL(lags ? 1 : 0, fixture.api.currentWatches);
+        LONGS_EQUAL(lags ? 1 : 0, fixture.api.currentWatchCount);
         CHECK(fixture.own.currentConfirmation()->revision >= before);
     }
 }
--- a/tests/test_soak.cpp
+++ b/tests/test_soak.cpp
@@ -1,7 +1,7 @@
 // Tests of the soak test's parts: plans are reproducible, violations of guarantees are reported, and the proxy applies
 // its disturbances.
+#include "soak/invariants.h"
 #include "soak/plan.h"
-#include "soak/promises.h"
 
 // CppUTest goes last: its memory-leak macros redefine operator new.
 #include "loop_group.h"
--- a/tests/test_store_restore.cpp
+++ b/tests/test_store_restore.cpp
@@ -34,11 +34,11 @@
     FollowerFixture fixture;
     fixture.rank = std::nullopt;
     fixture.store.put("k", "a", 1, std::nullopt);
-    const auto copy = fixture.store.copy();
+    const auto backup = fixture.store.backup();
     fixture.store.put("k", "b", 1, std::nullopt);
     fixture.store.put("k", "c", 1, std::nullopt);
     converge(loop(), fixture);
-    fixture.store.restore(copy);
+    fixture.store.restore(backup);
     fixture.store.put("k", "x", 1, std::nullopt);
     fixture.store.put("k", "b", 1, std::nullopt);
     fixture.store.put("k", "c", 1, std::nullopt);
@@ -63,11 +63,11 @@
 {
     ControlFixture fixture;
     fixture.start(loop());
-    const auto copy = fixture.store.copy();
+    const auto backup = fixture.store.backup();
     fixture.store.put("servers", "i-north", leavingEntryAt("10.0.0.1:80"), std::nullopt);
     CHECK(loop().run(fixture.control.stepEndpoints()));
     CHECK((fixture.placementTargets() == std::set<std::string>{"i-south"}));
-    fixture.store.restore(copy);
+    fixture.store.restore(backup);
     for (int i = 0; i < stepsToConverge; ++i) {
         loop().run(fixture.control.stepEndpoints());
         CHECK((fixture.placementTargets() == std::set<std::string>{"i-south"}));
@@ -78,14 +78,14 @@
 {
     FollowerFixture fixture;
     fixture.store.put("k", "a", 1, std::nullopt);
-    const auto copy = fixture.store.copy();
+    const auto backup = fixture.store.backup();
     fixture.neighbourQueriesStore(loop());
     fixture.start(loop());
     fixture.store.put("j", "other", 1, std::nullopt); // raises the revision without a change of this kind
     fixture.store.put("j", "other", 2, std::nullopt);
     fixture.neighbourQueriesStore(loop());
     const auto confirmation = *fixture.other.currentConfirmation();
-    fixture.store.restore(copy);
+    fixture.store.restore(backup);
     fixture.rank = std::nullopt;
     converge(loop(), fixture);
     const auto confirmedAt = fixture.own.confirmedAt();
@@ -101,12 +101,12 @@
 {
     FollowerFixture fixture;
     fixture.store.put("k", "a", 1, std::nullopt);
-    const auto copy = fixture.store.copy();
+    const auto backup = fixture.store.backup();
     fixture.store.put("k", "lost", 1, std::nullopt);
     fixture.neighbourQueriesStore(loop());
     fixture.start(loop());
     fixture.api.outage = true;
-    fixture.store.restore(copy);
+    fixture.store.restore(backup);
     fixture.store.put("k", "b", 1, std::nullopt);
     for (int i = 0; i < stepsToConverge; ++i) {
         fixture.neighbourQueriesStore(loop());
@@ -123,10 +123,10 @@
 {
     FollowerFixture fixture;
     fixture.store.put("k", "a", 1, std::nullopt);
-    const auto copy = fixture.store.copy();
+    const auto backup = fixture.store.backup();
     fixture.neighbourQueriesStore(loop());
     fixture.start(loop());
-    fixture.store.restore(copy);
+    fixture.store.restore(backup);
     fixture.store.put("k", "b", 1, std::nullopt);
     for (int i = 0; i < stepsToConverge; ++i) {
         fixture.neighbourQueriesStore(loop());
@@ -142,13 +142,13 @@
     FollowerFixture fixture;
     fixture.rank = std::nullopt;
     fixture.store.put("k", "a", 1, std::nullopt);
-    const auto first = fixture.store.copy();
+    const auto first = fixture.store.backup();
     fixture.store.put("k", "b", 1, std::nullopt);
     converge(loop(), fixture);
     fixture.api.outage = true;
     fixture.store.restore(first);
     fixture.store.put("k", "c", 1, std::nullopt);
-    const auto second = fixture.store.copy();
+    const auto second = fixture.store.backup();
     fixture.store.put("k", "d", 1, std::nullopt);
     loop().run(fixture.follower->step());
     fixture.store.restore(second);
@@ -167,9 +167,9 @@
     FollowerFixture fixture;
     fixture.rank = std::nullopt;
     fixture.store.put("k", "a", 1, std::nullopt);
-    const auto copy = fixture.store.copy();
+    const auto backup = fixture.store.backup();
     fixture.store.put("k", "b", 1, std::nullopt);
-    fixture.store.restore(copy);
+    fixture.store.restore(backup);
     converge(loop(), fixture);
     CHECK(recorded(fixture.sink, "listed 1"));
     CHECK(!recorded(fixture.sink, "restored"));
@@ -184,10 +184,10 @@
     fixture.options.sharedReplica = nullptr;
     fixture.options.relistDelayAfterRestore = Millis(30);
     fixture.follower = std::make_unique<Follower<RecordingSink>>(fixture.api, "k", fixture.sink, fixture.options);
-    const auto copy = fixture.store.copy();
+    const auto backup = fixture.store.backup();
     fixture.store.put("k", "a", 1, std::nullopt);
     converge(loop(), fixture);
-    fixture.store.restore(copy);
+    fixture.store.restore(backup);
     fixture.sink.updates.clear();
     CHECK(loop().run(fixture.follower->step()));
     CHECK(loop().run(fixture.follower->step()) || true);
@@ -212,11 +212,11 @@
 {
     ControlFixture fixture;
     fixture.start(loop());
-    const auto copy = fixture.store.copy();
+    const auto backup = fixture.store.backup();
     fixture.store.remove("servers", "i-north", std::nullopt);
     CHECK(loop().run(fixture.control.stepEndpoints()));
     CHECK((fixture.placementTargets() == std::set<std::string>{"i-south"}));
-    fixture.store.restore(copy);
+    fixture.store.restore(backup);
     for (int i = 0; i < stepsToConverge; ++i) {
         loop().run(fixture.control.stepEndpoints());
     }
@@ -229,10 +229,10 @@
 {
     ControlFixture fixture;
     fixture.start(loop());
-    const auto copy = fixture.store.copy();
+    const auto backup = fixture.store.backup();
     fixture.store.put("servers", "i-new", endpointEntryAt("10.0.0.3:80"), std::nullopt);
     CHECK(loop().run(fixture.control.stepEndpoints()));
-    fixture.store.restore(copy);
+    fixture.store.restore(backup);
     const std::set<std::string> all{"i-new", "i-north", "i-south"};
     for (int i = 0; i < stepsToConverge; ++i) {
         loop().run(fixture.control.stepEndpoints());
@@ -247,12 +247,12 @@
     ControlFixture fixture;
     fixture.start(loop());
     CHECK(loop().run(fixture.control.stepEvacuations()));
-    const auto copy = fixture.store.copy();
+    const auto backup = fixture.store.backup();
     const std::set<std::string> south{"i-south"};
     for (int round = 0; round < 2; ++round) { // the second restore follows right after the first
         fixture.store.put(platform::ObjectCodec::evacuationKind, "north", nlohmann::json::object(), std::nullopt);
         loop().run(fixture.control.stepEvacuations());
-        fixture.store.restore(copy);
+        fixture.store.restore(backup);
         for (int i = 0; i < stepsToConverge; ++i) {
             loop().run(fixture.control.stepEvacuations());
             CHECK(fixture.placementTargets() == south);
@@ -268,10 +268,10 @@
     fixture.start(loop());
     CHECK(loop().run(fixture.control.stepEvacuations()));
     fixture.store.put(platform::ObjectCodec::evacuationKind, "north", nlohmann::json::object(), std::nullopt);
-    const auto copy = fixture.store.copy();
+    const auto backup = fixture.store.backup();
     fixture.store.remove(platform::ObjectCodec::evacuationKind, "north", std::nullopt);
     CHECK(loop().run(fixture.control.stepEvacuations()));
-    fixture.store.restore(copy);
+    fixture.store.restore(backup);
     for (int i = 0; i < stepsToConverge; ++i) {
         loop().run(fixture.control.stepEvacuations());
     }
